--- a/crates/edge/src/decisions.rs
+++ b/crates/edge/src/decisions.rs
@@ -85,7 +85,7 @@
             packet.flow.caller.to_string(),
             packet.flow.route.to_string(),
         );
-        let (load, own) = (endpoint.load(), endpoint.own());
+        let (load, own) = (endpoint.load(), endpoint.own_load());
         log::info!(
             caller, route, copy, version, endpoint = &*endpoint.name,
             incarnation = endpoint.incarnation, phase = format!("{:?}", endpoint.phase),
--- a/crates/edge/src/describe.rs
+++ b/crates/edge/src/describe.rs
@@ -71,7 +71,7 @@
             let name = view.pool().service_name(endpoint.service);
             count(&mut services, name.unwrap_or_default(), endpoint);
         }
-        let busy = view.pool().iter().map(|endpoint| endpoint.own().busy);
+        let busy = view.pool().iter().map(|endpoint| endpoint.own_load().busy);
         Status {
             endpoints: view.pool().iter().count(),
             instance: instance(&self.settings),
--- a/crates/edge/src/view.rs
+++ b/crates/edge/src/view.rs
@@ -209,7 +209,7 @@
         };
         source.live = false;
         if place == REPORTED {
-            self.pool.forget_loads();
+            self.pool.clear_external_loads();
         }
         let names = std::mem::take(&mut source.silent);
         for name in names {
@@ -229,7 +229,7 @@
             .map(|endpoint| endpoint.name.clone())
             .collect();
         for name in gone {
-            self.pool.forget(&name);
+            self.pool.remove_endpoint(&name);
         }
     }
 
@@ -252,7 +252,7 @@
                 let repeatable = route.is_some_and(|route| route.repeatable);
                 let (flow, progress) = (packet.flow, packet.progress);
                 self.pool
-                    .pass(now, flow, packet.reference, progress, repeatable)
+                    .lookup(now, flow, packet.reference, progress, repeatable)
             }
             Kind::Open(_) if !self.places(now) => Err(Code::EntryStarting),
             Kind::Open(_) => {
@@ -293,10 +293,10 @@
         let used = self
             .pool
             .iter()
-            .filter(|endpoint| endpoint.own() != Load::default());
+            .filter(|endpoint| endpoint.own_load() != Load::default());
         used.map(|endpoint| Loaded {
-            busy: endpoint.own().busy,
-            flows: endpoint.own().flows,
+            busy: endpoint.own_load().busy,
+            flows: endpoint.own_load().flows,
             reference: endpoint.reference.number(),
         })
         .collect()
@@ -373,7 +373,7 @@
                 busy: loaded.busy,
                 flows: loaded.flows,
             };
-            self.pool.elsewhere(reference, load);
+            self.pool.set_external_load(reference, load);
         }
     }
 }
--- a/crates/placement/benches/capacity.rs
+++ b/crates/placement/benches/capacity.rs
@@ -1,4 +1,4 @@
-//! What a packet costs at an entry that chooses and finds endpoints by itself, by endpoints and flows.
+//! Cost of endpoint selection and lookup per packet, by number of endpoints and flows.
 
 #![allow(missing_docs, reason = "a benchmark has no public items")]
 
@@ -33,16 +33,16 @@
 /// Numbers of endpoints of one service.
 const ENDPOINTS: [u32; 5] = [4, 14, 50, 200, 800];
 
-/// Numbers of flows that an entry keeps; it keeps no more than 65,536.
+/// Numbers of flows that an entry tracks; its limit is 65,536.
 const FLOWS: [u32; 5] = [4_000, 8_000, 16_000, 32_000, 64_000];
 
-/// Flows that pass an entry at once in the largest case, most of which it does not keep.
-const MANY_FLOWS: u32 = 500_000;
+/// Concurrent flows in the largest case, most of which the entry does not track.
+const EXCESS_FLOWS: u32 = 500_000;
 
-/// Packets that are timed at each size.
+/// Packets timed at each size.
 const PACKETS: u32 = 200_000;
 
-/// Openings that are timed at each size.
+/// Opening packets timed at each size.
 const OPENINGS: u32 = 20_000;
 
 fn main() {
@@ -53,20 +53,20 @@
     for flows in FLOWS {
         let before = resident().unwrap();
         let mut pool = pool(14).0;
-        let nanos = pass(&mut pool, flows);
+        let nanos = lookup(&mut pool, flows);
         memories.push((f64::from(flows), resident().unwrap() - before));
         times.push((f64::from(flows), nanos));
-        // Memory that is freed is not given back at once, so it must not serve the next size.
+        // The allocator keeps freed memory, which would then hide the use of the next size.
         std::mem::forget(black_box(pool));
     }
     let case = "by flow that the entry keeps";
     Fit::new(&times).print("capacity.passing_ns", case, "ns/packet");
     Fit::new(&memories).print("capacity.passing_memory", case, "B");
-    let nanos = pass(&mut pool(14).0, MANY_FLOWS);
+    let nanos = lookup(&mut pool(14).0, EXCESS_FLOWS);
     Figure::new("placement.pass", "500,000 flows", nanos, "ns/packet").print();
 }
 
-/// A pool of endpoints of one service.
+/// Creates a pool of endpoints of one service.
 fn pool(endpoints: u32) -> (Pool, [Target; 1]) {
     let mut pool = Pool::new();
     let service = pool.service("s");
@@ -88,7 +88,7 @@
     }
 }
 
-/// Nanoseconds to choose an endpoint for a new flow.
+/// Nanoseconds to select an endpoint for a new flow.
 fn open(endpoints: u32) -> f64 {
     let (mut pool, targets) = pool(endpoints);
     let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -101,11 +101,11 @@
     start.elapsed().as_secs_f64() * 1e9 / f64::from(OPENINGS)
 }
 
-/// Nanoseconds to find the endpoint of a later packet, with so many flows in turn.
-fn pass(pool: &mut Pool, flows: u32) -> f64 {
+/// Nanoseconds to find the endpoint of a subsequent packet, with `flows` flows in turn.
+fn lookup(pool: &mut Pool, flows: u32) -> f64 {
     let flows: Vec<_> = (0..flows).map(flow).collect();
     let reference = Some(Reference::to(&name(1)));
-    let mut round = |number: u32, flow: &FlowKey| {
+    let mut send = |number: u32, flow: &FlowKey| {
         let now = Duration::from_millis(u64::from(number));
         let progress = Progress {
             acknowledged: number,
@@ -113,11 +113,11 @@
             sequence: number,
             ..Progress::default()
         };
-        let key = pool.pass(now, *flow, reference, progress, true);
+        let key = pool.lookup(now, *flow, reference, progress, true);
         let _key = black_box(key);
     };
     for flow in &flows {
-        round(1, flow);
+        send(1, flow);
     }
     let packets: Vec<_> = flows
         .iter()
@@ -126,7 +126,7 @@
         .collect();
     let start = Instant::now();
     for flow in packets {
-        round(2, flow);
+        send(2, flow);
     }
     start.elapsed().as_secs_f64() * 1e9 / f64::from(PACKETS)
 }
--- a/crates/placement/src/distance.rs
+++ b/crates/placement/src/distance.rs
@@ -1,6 +1,6 @@
-//! How far an endpoint is from an entry.
+//! Network distance between an entry and an endpoint.
 
-/// How far an endpoint is from an entry.
+/// Network distance between an entry and an endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Distance {
     /// In the same data centre.
--- a/crates/placement/src/endpoint.rs
+++ b/crates/placement/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint as an entry sees it.
+//! An entry's state for one endpoint.
 
 use std::{
     net::SocketAddrV4,
@@ -20,193 +20,195 @@
     pub struct ServiceKey;
 }
 
-/// Repeats of a request after which its endpoint is taken to be out of reach: an endpoint that is
-/// only slow acknowledges what it gets.
-const REPEATS: u32 = 2;
+/// Retransmissions of a request after which its endpoint counts as unreachable: an endpoint that is
+/// merely slow acknowledges what it receives.
+const UNREACHABLE_RETRANSMISSIONS: u32 = 2;
 
-/// Part of the mean work time that the latest request makes up: about ten requests are remembered.
-const WORK_PART: f64 = 0.1;
+/// Weight of the latest sample in the moving mean of response times: about ten requests count.
+const RESPONSE_TIME_WEIGHT: f64 = 0.1;
 
-/// Time for which an endpoint counts as out of reach after the last sign of that: what healed since
-/// must not be held against it.
-const UNREACHABLE: Duration = Duration::from_secs(1);
+/// Time for which an endpoint counts as unreachable after the last evidence of it: the endpoint may
+/// have recovered since.
+const UNREACHABLE_TTL: Duration = Duration::from_secs(1);
 
-/// First time for which an endpoint gets no new flow after one that it did not answer; doubles with
-/// each further one. As long as a caller waits before it sends its second copy.
-const AVOID_FIRST: Duration = Duration::from_millis(200);
+/// First backoff of an endpoint that did not answer a new flow, during which it gets no other; doubles
+/// with each further failure. As long as a client waits before it sends its second copy.
+const BACKOFF_MIN: Duration = Duration::from_millis(200);
 
-/// Longest such time: then it gets a flow on trial.
-const AVOID_LAST: Duration = Duration::from_secs(3);
+/// Longest backoff, after which the endpoint gets a new flow as a probe.
+const BACKOFF_MAX: Duration = Duration::from_secs(3);
 
-/// How far an endpoint may be used.
+/// An endpoint's lifecycle phase.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// Keeps its flows and gets no new one.
+    /// Keeps its flows and gets no new ones.
     Draining,
-    /// Has left: its flows are over.
+    /// Has left: its flows are lost.
     Gone,
-    /// Takes new flows.
+    /// Accepts new flows.
     Ready,
-    /// The stores have not heard of it lately: it gets a new flow only if no other can.
+    /// Its heartbeats no longer reach the stores: it gets new flows only if no other endpoint can.
     Silent,
 }
 
-/// An endpoint as an entry sees it.
+/// An entry's state for one endpoint.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Where it takes packets.
+    /// Address at which it receives packets.
     pub address: SocketAddrV4,
-    /// How far it is from the entry.
+    /// Distance from the entry.
     pub distance: Distance,
-    /// What other entries told of its load.
-    pub elsewhere: Load,
-    /// Start of its process; tells its incarnations apart.
+    /// Load from the flows of other entries, as they report it.
+    pub external_load: Load,
+    /// Start time of its process, which distinguishes its incarnations.
     pub incarnation: u64,
     /// Its name.
     pub name: Box<str>,
-    /// How far it may be used.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// What its packets carry.
+    /// Reference to it in packets.
     pub reference: Reference,
     /// Its service.
     pub service: ServiceKey,
-    /// Requests that it works on at once.
+    /// Requests that it processes at once.
     pub slots: u16,
-    /// Number by which it tells that a packet is meant for it.
+    /// Number by which the endpoint recognises packets addressed to it.
     pub tag: u64,
-    /// Until when it is slow after its start.
-    pub warm: Duration,
-    /// Until when it gets no new flow, and how many it has not answered in a row.
-    pub(crate) avoid: (Duration, u32),
-    /// Its load from this entry's own flows.
-    pub(crate) own: Load,
-    /// When a packet of a caller last showed that it answers.
+    /// When its warm-up ends.
+    pub warm_until: Duration,
+    /// End of its backoff, and the number of consecutive failures.
+    pub(crate) backoff: (Duration, u32),
+    /// Load from this entry's own flows.
+    pub(crate) own_load: Load,
+    /// When a client last acknowledged data from it.
     pub(crate) progress_at: Option<Duration>,
-    /// When a request last went unanswered, although it was sent three times and nothing else came
-    /// from the endpoint meanwhile.
-    pub(crate) unreachable: Option<Duration>,
-    /// Time from a request's last packet to the first sign of its answer, in seconds, as a moving
-    /// mean; none before the first one.
-    pub(crate) work: Option<f64>,
+    /// Moving mean of the time from a request's last packet to the first byte of its response, in
+    /// seconds; none before the first response.
+    pub(crate) response_time: Option<f64>,
+    /// When a request last went unanswered although it was sent three times and the endpoint sent
+    /// nothing else in the meantime.
+    pub(crate) unreachable_at: Option<Duration>,
 }
 
 impl Endpoint {
-    /// Creates what is known of an endpoint at its address, with one slot and ready.
+    /// Creates a ready endpoint with one slot.
     pub fn new(name: &str, incarnation: u64, address: SocketAddrV4, service: ServiceKey) -> Self {
         Self {
             address,
-            avoid: (Duration::ZERO, 0),
+            backoff: (Duration::ZERO, 0),
             distance: Distance::Centre,
-            elsewhere: Load::default(),
+            external_load: Load::default(),
             incarnation,
             name: name.into(),
-            own: Load::default(),
+            own_load: Load::default(),
             phase: Phase::Ready,
             progress_at: None,
             reference: Reference::to(name),
+            response_time: None,
             service,
             slots: 1,
             tag: 0,
-            unreachable: None,
-            warm: Duration::ZERO,
-            work: None,
+            unreachable_at: None,
+            warm_until: Duration::ZERO,
         }
     }
 
-    /// Sets how far it may be used.
+    /// Sets the lifecycle phase.
     pub const fn with_phase(mut self, phase: Phase) -> Self {
         self.phase = phase;
         self
     }
 
-    /// Sets the number of requests that it works on at once.
+    /// Sets the number of requests that it processes at once.
     pub const fn with_slots(mut self, slots: u16) -> Self {
         self.slots = slots;
         self
     }
 
-    /// Sets the number by which it tells that a packet is meant for it.
+    /// Sets the number by which the endpoint recognises packets addressed to it.
     pub const fn with_tag(mut self, tag: u64) -> Self {
         self.tag = tag;
         self
     }
 
-    /// Sets until when it is slow after its start.
-    pub const fn with_warm(mut self, warm: Duration) -> Self {
-        self.warm = warm;
+    /// Sets when its warm-up ends.
+    pub const fn with_warm(mut self, warm_until: Duration) -> Self {
+        self.warm_until = warm_until;
         self
     }
 
-    /// Sets how far it is from the entry; else it stands in the same data centre.
+    /// Sets the distance from the entry; the default is the same data centre.
     pub const fn with_distance(mut self, distance: Distance) -> Self {
         self.distance = distance;
         self
     }
 
-    /// Its load from this entry's own flows.
-    pub const fn own(&self) -> Load {
-        self.own
+    /// Load from this entry's own flows.
+    pub const fn own_load(&self) -> Load {
+        self.own_load
     }
 
-    /// Its whole load, as far as it is known.
+    /// Total load: this entry's flows and those that other entries report.
     pub fn load(&self) -> Load {
-        self.own + self.elsewhere
+        self.own_load + self.external_load
     }
 
-    /// Notes that it answered.
-    pub(crate) fn answered(&mut self, now: Duration) {
-        self.avoid = (Duration::ZERO, 0);
-        self.unreachable = None;
+    /// Records an answer.
+    pub(crate) fn record_answer(&mut self, now: Duration) {
+        self.backoff = (Duration::ZERO, 0);
+        self.unreachable_at = None;
         self.progress_at = Some(now);
     }
 
-    /// Notes how long it took to begin to answer a request.
-    pub(crate) fn worked(&mut self, time: Duration) {
+    /// Records the time that it took to begin its response to a request.
+    pub(crate) fn record_response_time(&mut self, time: Duration) {
         let time = time.as_secs_f64();
-        let mean = self.work.unwrap_or(time);
-        self.work = Some(mean + (time - mean) * WORK_PART);
+        let mean = self.response_time.unwrap_or(time);
+        self.response_time = Some(mean + (time - mean) * RESPONSE_TIME_WEIGHT);
     }
 
-    /// Notes that a request was sent again; returns whether the endpoint is not reached: it has
-    /// shown no sign since the request came, and one has been sent three times by now.
-    pub(crate) fn unanswered(&mut self, now: Duration, request: Request) -> bool {
-        // A packet that begins a request may show what the endpoint sent before that.
-        if self.progress_at.is_some_and(|at| at > request.since) {
+    /// Records a retransmitted request; returns whether the endpoint is unreachable: it has answered
+    /// nothing since the request arrived, and some request was sent three times.
+    pub(crate) fn record_retransmission(&mut self, now: Duration, request: Request) -> bool {
+        // The first packet of a request may acknowledge data that the endpoint sent earlier.
+        if self.progress_at.is_some_and(|at| at > request.first_at) {
             return false;
         }
-        self.missed(now);
-        if request.repeats >= REPEATS || self.unreachable_since(now).is_some() {
-            self.unreachable = Some(now);
+        self.record_failure(now);
+        if request.retransmissions >= UNREACHABLE_RETRANSMISSIONS
+            || self.unreachable_since(now).is_some()
+        {
+            self.unreachable_at = Some(now);
         }
-        self.unreachable == Some(now)
+        self.unreachable_at == Some(now)
     }
 
-    /// When the endpoint last was out of reach, if that still counts.
+    /// When the endpoint was last unreachable, unless that has expired.
     pub(crate) fn unreachable_since(&self, now: Duration) -> Option<Duration> {
-        self.unreachable
-            .filter(|at| now.saturating_sub(*at) <= UNREACHABLE)
+        self.unreachable_at
+            .filter(|at| now.saturating_sub(*at) <= UNREACHABLE_TTL)
     }
 
-    /// Notes that it did not answer a new flow.
-    pub(crate) fn missed(&mut self, now: Duration) {
-        let (until, count) = self.avoid;
+    /// Records that it did not answer a new flow.
+    pub(crate) fn record_failure(&mut self, now: Duration) {
+        let (until, count) = self.backoff;
         if now < until && count > 1 {
-            // Flows that were placed before the last miss was known tell nothing new.
+            // Flows that were placed before the last failure was known are no further evidence.
             return;
         }
-        let pause = AVOID_FIRST
+        let pause = BACKOFF_MIN
             .saturating_mul(1 << count.min(8))
-            .min(AVOID_LAST);
-        self.avoid = (now + pause, count.saturating_add(1));
+            .min(BACKOFF_MAX);
+        self.backoff = (now + pause, count.saturating_add(1));
     }
 
-    /// Whether a caller's packet has shown that it answers, since a moment.
+    /// Whether a client has acknowledged data from it since `then`.
     pub(crate) fn answered_since(&self, then: Duration) -> bool {
         self.progress_at.is_some_and(|at| at >= then)
     }
 
-    /// Whether it may get a new flow now.
-    pub(crate) fn trusted(&self, now: Duration) -> bool {
-        now >= self.avoid.0
+    /// Whether its backoff has ended.
+    pub(crate) fn available(&self, now: Duration) -> bool {
+        now >= self.backoff.0
     }
 }
--- a/crates/placement/src/flow.rs
+++ b/crates/placement/src/flow.rs
@@ -1,4 +1,4 @@
-//! A flow as its packets from the caller show it.
+//! Flow state, tracked by the packets of the client.
 
 use std::{
     net::SocketAddrV4,
@@ -16,36 +16,36 @@
     },
 };
 
-/// The two ends of a flow, as its caller sees them.
+/// The two addresses of a flow, as its client sees them.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct FlowKey {
-    /// The caller.
+    /// Address of the client.
     pub caller: SocketAddrV4,
-    /// The address that the caller asked for.
+    /// Address of the route that the client connects to.
     pub route: SocketAddrV4,
 }
 
-/// What an entry keeps of a flow whose packets it forwards. Losing it costs no packet.
+/// An entry's state for a flow that it forwards. Packets are forwarded correctly without it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Flow {
-    /// What the caller acknowledged last.
+    /// The client's last acknowledgement number.
     pub acknowledged: u32,
-    /// Whether the caller has closed it.
+    /// Whether the client has closed it.
     pub closed: bool,
-    /// Who has it.
+    /// The endpoint that serves it.
     pub endpoint: EndpointKey,
     /// Whether the endpoint has answered the opening packet.
     pub open: bool,
-    /// Whether it counts as refused by its endpoint.
+    /// Whether it was recorded as refused by its endpoint.
     pub refused: bool,
-    /// The request that the endpoint has not begun to answer.
+    /// The pending request.
     pub request: Option<Request>,
-    /// When the last packet came.
-    pub seen: Duration,
+    /// When the last packet arrived.
+    pub seen_at: Duration,
 }
 
 impl Flow {
-    /// Creates a flow that its endpoint has not answered yet.
+    /// Creates a flow whose opening packet has not been answered yet.
     pub fn new(now: Duration, endpoint: EndpointKey) -> Self {
         Self {
             acknowledged: 0,
@@ -54,56 +54,57 @@
             open: false,
             refused: false,
             request: None,
-            seen: now,
+            seen_at: now,
         }
     }
 
-    /// Notes that the endpoint has answered the opening packet.
+    /// Marks the opening packet as answered.
     pub const fn with_open(mut self) -> Self {
         self.open = true;
         self
     }
 
-    /// Notes what a packet tells of the flow and its endpoint; returns whether the endpoint is out
-    /// of reach.
-    pub fn note(&mut self, now: Duration, endpoint: &mut Endpoint, progress: Progress) -> bool {
-        self.seen = now;
+    /// Updates the flow and its endpoint from a packet; returns whether the endpoint is unreachable.
+    pub fn record(&mut self, now: Duration, endpoint: &mut Endpoint, progress: Progress) -> bool {
+        self.seen_at = now;
         self.acknowledged = progress.acknowledged;
         if !self.open {
             self.open = true;
-            endpoint.answered(now);
+            endpoint.record_answer(now);
         }
         self.end_request(now, endpoint, progress);
         if progress.closing && !self.closed {
             self.closed = true;
-            endpoint.own.flows = endpoint.own.flows.saturating_sub(1);
+            endpoint.own_load.flows = endpoint.own_load.flows.saturating_sub(1);
         }
         match &mut self.request {
             _ if progress.length == 0 || self.closed => false,
-            Some(request) => request.take(now, progress) && endpoint.unanswered(now, *request),
+            Some(request) => {
+                request.record(now, progress) && endpoint.record_retransmission(now, *request)
+            }
             None => {
                 self.request = Some(Request::new(now, progress));
-                endpoint.own.busy += 1;
+                endpoint.own_load.busy += 1;
                 false
             }
         }
     }
 
-    /// Ends the request once its answer begins to arrive, or its caller leaves.
+    /// Ends the pending request once its response begins to arrive or the client closes the flow.
     fn end_request(&mut self, now: Duration, endpoint: &mut Endpoint, progress: Progress) {
         let Some(request) = self.request else {
             return;
         };
         let answered = progress.acknowledged != request.acknowledged;
         if answered {
-            endpoint.answered(now);
+            endpoint.record_answer(now);
         }
-        if answered && request.repeats == 0 {
-            endpoint.worked(now.saturating_sub(request.last));
+        if answered && request.retransmissions == 0 {
+            endpoint.record_response_time(now.saturating_sub(request.last_at));
         }
         if answered || progress.closing {
             self.request = None;
-            endpoint.own.busy = endpoint.own.busy.saturating_sub(1);
+            endpoint.own_load.busy = endpoint.own_load.busy.saturating_sub(1);
         }
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which endpoint gets a flow, and which one has it.
+//! Endpoint selection for new flows, and endpoint lookup for established ones.
 //!
-//! The packets of a flow carry a [`Reference`] to its endpoint, which both ends repeat, so that any
-//! entry forwards them without state of its own. A [`Pool`] finds the endpoint of a reference and
-//! chooses one for a new flow, by what the packets that pass tell of each endpoint's load. There is
-//! no clock, socket or thread: times are arguments, and count from the process's start.
+//! The packets of a flow carry a [`Reference`] to its endpoint, which both ends echo, so that any
+//! entry can forward them without per-flow state. A [`Pool`] resolves references and selects
+//! endpoints for new flows by load, which it estimates from the packets of clients. It has no clock,
+//! socket or thread: times are passed as arguments and count from the start of the process.
 
 mod choice;
 mod distance;
--- a/crates/placement/src/load.rs
+++ b/crates/placement/src/load.rs
@@ -1,14 +1,14 @@
-//! How much an endpoint has to do.
+//! An endpoint's load.
 
 use std::ops::{
     Add,
     AddAssign, //
 };
 
-/// How much an endpoint has to do, as far as packets tell.
+/// An endpoint's load, as estimated from packets.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Requests that were sent and that it has not begun to answer.
+    /// Pending requests: sent, but without a first byte of response.
     pub busy: u32,
     /// Open flows.
     pub flows: u32,
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -1,4 +1,4 @@
-//! The endpoints that an entry knows, and the flows that pass it.
+//! The endpoint pool of an entry, and the flows that it forwards.
 
 use std::time::Duration;
 
@@ -27,38 +27,38 @@
     request::Progress, //
 };
 
-/// Flows that are kept at most: a flood of opening packets can't take more memory than this.
-const MOST_FLOWS: usize = 65_536;
+/// Limit of tracked flows, which bounds the memory that a flood of opening packets can take.
+const MAX_FLOWS: usize = 65_536;
 
-/// Time after which a flow without a packet is forgotten: idle connections of callers are closed
-/// sooner.
-const IDLE: Duration = Duration::from_secs(20);
+/// Time without a packet after which a flow expires: clients close idle connections sooner.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time after which a closed flow, or one that never opened, is forgotten: longer than its last
-/// packets are under way.
-const LINGER: Duration = Duration::from_secs(2);
+/// Time without a packet after which a closed flow, or one that was never answered, expires: longer
+/// than its last packets are in transit.
+const CLOSED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time after which a request that got no answer counts no longer: its caller has given up.
-const REQUEST: Duration = Duration::from_secs(10);
+/// Time after which an unanswered request no longer counts as pending: its client has given up.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time after an opening packet by which its caller has sent a copy, or more if it was answered. A caller
-/// that has sent neither got a reset: the endpoint's instance runs, but the endpoint does not.
-const SETTLED: Duration = Duration::from_millis(300);
+/// Time after an opening packet by which the client has sent a further packet: a copy, or data if the
+/// flow was answered. A client that has sent neither got a reset: the endpoint's instance runs, but
+/// the endpoint does not.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time without a tick after which the process has stood still; and for how long its own view of
-/// endpoints counts little then. A few ticks.
-const STALL: Duration = Duration::from_secs(1);
+/// Time without a tick after which the process counts as stalled, and time for which its observations
+/// of endpoints are ignored from then on. A few ticks.
+const STALL_TIME: Duration = Duration::from_secs(1);
 
-/// A service that a route names.
+/// A weighted service of a route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Target {
     /// The service.
     pub service: ServiceKey,
-    /// Its share of the new flows, beside the others'.
+    /// Its share of the new flows, relative to the other weights.
     pub weight: u32,
 }
 
-/// The endpoints that an entry knows, and the flows that pass it.
+/// The endpoint pool of an entry, and the flows that it forwards.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     endpoints: SlotMap<EndpointKey, Endpoint>,
@@ -67,10 +67,10 @@
     names: HashMap<Box<str>, EndpointKey>,
     references: HashMap<Reference, EndpointKey>,
     services: HashMap<Box<str>, ServiceKey>,
-    /// Until when the process counts as having stood still.
-    stalled: Duration,
-    /// When the last tick came.
-    ticked: Duration,
+    /// Until when observations are ignored because the process was stalled.
+    stalled_until: Duration,
+    /// Time of the last tick.
+    ticked_at: Duration,
     service_names: SlotMap<ServiceKey, Box<str>>,
 }
 
@@ -80,7 +80,7 @@
         Self::default()
     }
 
-    /// The key of a service.
+    /// The key of a service, which is added if it is new.
     pub fn service(&mut self, name: &str) -> ServiceKey {
         if let Some(key) = self.services.get(name) {
             return *key;
@@ -96,16 +96,16 @@
         self.service_names.get(key).map(|name| &**name)
     }
 
-    /// Takes in what is known of an endpoint. Its load as seen here stays.
+    /// Inserts or updates an endpoint. Its load and health, as observed here, are kept unless it restarted.
     pub fn update(&mut self, endpoint: Endpoint) {
         match self.names.get(&endpoint.name).copied() {
-            Some(key) => self.renew(key, endpoint),
+            Some(key) => self.replace(key, endpoint),
             None => self.insert(endpoint),
         }
     }
 
-    /// Forgets an endpoint that all have let go of.
-    pub fn forget(&mut self, name: &str) {
+    /// Removes an endpoint whose announcement has expired.
+    pub fn remove_endpoint(&mut self, name: &str) {
         let Some(key) = self.names.remove(name) else {
             return;
         };
@@ -117,17 +117,17 @@
         }
         if self.references.get(&endpoint.reference) == Some(&key) {
             self.references.remove(&endpoint.reference);
-            self.claim(endpoint.reference);
+            self.assign_reference(endpoint.reference);
         }
     }
 
-    /// Chooses an endpoint for the opening packet of a flow, or for a copy of it.
+    /// Selects an endpoint for the opening packet of a flow, or for a copy of it.
     ///
-    /// A copy means that the endpoint did not answer the packet before, so it goes to another.
+    /// A copy means that the endpoint did not answer the previous packet, so another one is preferred.
     ///
     /// # Errors
     ///
-    /// [`Code::FlowNoEndpoint`] if no endpoint of the services can take it.
+    /// [`Code::FlowNoEndpoint`] if no endpoint of the services accepts new flows.
     pub fn open(
         &mut self,
         now: Duration,
@@ -137,28 +137,28 @@
     ) -> Result<EndpointKey, Code> {
         let former = self.flows.get(&flow).copied().filter(|known| !known.open);
         if let Some(former) = former {
-            self.drop_flow(&flow);
+            self.remove_flow(&flow);
             if let Some(endpoint) = self.endpoints.get_mut(former.endpoint) {
-                endpoint.missed(now);
+                endpoint.record_failure(now);
             }
         }
-        let but = former.map(|former| former.endpoint);
+        let excluded = former.map(|former| former.endpoint);
         let key = self
-            .choose(now, targets, but, random)
+            .choose(now, targets, excluded, random)
             .ok_or(Code::FlowNoEndpoint)?;
-        self.drop_flow(&flow);
-        self.keep(flow, Flow::new(now, key));
+        self.remove_flow(&flow);
+        self.insert_flow(flow, Flow::new(now, key));
         Ok(key)
     }
 
-    /// Finds the endpoint of a later packet of a flow, and notes what the packet tells.
+    /// Finds the endpoint of a subsequent packet of a flow, and records the progress of the flow.
     ///
     /// # Errors
     ///
-    /// [`Code::FlowUnknown`] if the packet has no reference or one that is not known here,
-    /// [`Code::FlowEndpointGone`] if the endpoint has left, [`Code::FlowEndpointUnreachable`] if it is out
-    /// of reach while a request waits that may be sent anew (`repeatable`).
-    pub fn pass(
+    /// [`Code::FlowUnknown`] if the packet has no reference or an unknown one,
+    /// [`Code::FlowEndpointGone`] if the endpoint has left, [`Code::FlowEndpointUnreachable`] if it is
+    /// unreachable while a request is pending that may be retried (`repeatable`).
+    pub fn lookup(
         &mut self,
         now: Duration,
         flow: FlowKey,
@@ -171,18 +171,18 @@
             .ok_or(Code::FlowUnknown)?;
         let endpoint = self.endpoints.get(key).ok_or(Code::FlowUnknown)?;
         if endpoint.phase == Phase::Gone {
-            self.drop_flow(&flow);
+            self.remove_flow(&flow);
             return Err(Code::FlowEndpointGone);
         }
         let stalled = self.stalled(now);
-        if self.note(now, flow, key, progress) && repeatable && !stalled {
-            self.drop_flow(&flow);
+        if self.record(now, flow, key, progress) && repeatable && !stalled {
+            self.remove_flow(&flow);
             return Err(Code::FlowEndpointUnreachable);
         }
         Ok(key)
     }
 
-    /// The endpoint of a key.
+    /// The endpoint with a key.
     pub fn get(&self, key: EndpointKey) -> Option<&Endpoint> {
         self.endpoints.get(key)
     }
@@ -192,49 +192,49 @@
         self.endpoints.values()
     }
 
-    /// Number of flows that are kept.
+    /// Number of tracked flows.
     pub fn flows(&self) -> usize {
         self.flows.len()
     }
 
-    /// Sets what other entries told of an endpoint's load.
-    pub fn elsewhere(&mut self, reference: Reference, load: Load) {
+    /// Sets an endpoint's load from the flows of other entries.
+    pub fn set_external_load(&mut self, reference: Reference, load: Load) {
         let key = self.references.get(&reference).copied();
         if let Some(endpoint) = key.and_then(|key| self.endpoints.get_mut(key)) {
-            endpoint.elsewhere = load;
+            endpoint.external_load = load;
         }
     }
 
-    /// Whether this process stood still a moment ago, so that packets waited for it and it is no
-    /// witness of what endpoints did.
+    /// Whether this process was stalled recently: packets queued up meanwhile, so their timing shows
+    /// nothing about endpoints.
     fn stalled(&mut self, now: Duration) -> bool {
-        if now.saturating_sub(self.ticked) > STALL {
-            self.stalled = now + STALL;
+        if now.saturating_sub(self.ticked_at) > STALL_TIME {
+            self.stalled_until = now + STALL_TIME;
         }
-        now < self.stalled
+        now < self.stalled_until
     }
 
-    /// Forgets what other entries told of loads.
-    pub fn forget_loads(&mut self) {
+    /// Clears the loads that other entries reported.
+    pub fn clear_external_loads(&mut self) {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.elsewhere = Load::default();
+            endpoint.external_load = Load::default();
         }
     }
 
-    /// Gives up idle flows whose endpoint has left or is out of reach, and returns them with what
-    /// their callers acknowledged last, so that these can be reset: a caller that knows sends its
-    /// next request on another flow. Flows with a request in work are left alone.
+    /// Removes idle flows whose endpoint has left or is unreachable, and returns them with their last
+    /// acknowledgement numbers so that they can be reset: a client whose flow was reset sends its
+    /// next request on another one. Flows with a pending request are kept.
     pub fn orphans(&mut self, now: Duration) -> Vec<(FlowKey, u32)> {
         if self.stalled(now) {
             return Vec::new();
         }
         let endpoints = &self.endpoints;
-        let lost = |flow: &Flow| {
+        let orphaned = |flow: &Flow| {
             let endpoint = endpoints.get(flow.endpoint);
             endpoint.is_some_and(|endpoint| {
                 let unreachable_since = endpoint
                     .unreachable_since(now)
-                    .is_some_and(|at| flow.seen < at);
+                    .is_some_and(|at| flow.seen_at < at);
                 endpoint.phase == Phase::Gone || unreachable_since
             })
         };
@@ -242,60 +242,62 @@
         let flows = self
             .flows
             .iter()
-            .filter(|(_, flow)| idle(flow) && lost(flow));
+            .filter(|(_, flow)| idle(flow) && orphaned(flow));
         let orphans: Vec<_> = flows.map(|(key, flow)| (*key, flow.acknowledged)).collect();
         for (key, _) in &orphans {
-            self.drop_flow(key);
+            self.remove_flow(key);
         }
         orphans
     }
 
-    /// Notes endpoints that refuse flows: they answer faster than all others and look idle, and would
-    /// get every new flow until the stores miss their heartbeats.
-    fn note_refusals(&mut self, now: Duration) {
+    /// Records a failure for endpoints that refuse flows: they answer faster than all others, look
+    /// idle, and would get every new flow until the stores miss their heartbeats.
+    fn record_refusals(&mut self, now: Duration) {
         let endpoints = &mut self.endpoints;
         for flow in self.flows.values_mut() {
-            let settled = now.saturating_sub(flow.seen) >= SETTLED;
-            if flow.open || flow.closed || flow.refused || !settled {
+            let overdue = now.saturating_sub(flow.seen_at) >= ANSWER_TIMEOUT;
+            if flow.open || flow.closed || flow.refused || !overdue {
                 continue;
             }
             flow.refused = true;
             match endpoints.get_mut(flow.endpoint) {
-                Some(endpoint) if !endpoint.answered_since(flow.seen) => endpoint.missed(now),
+                Some(endpoint) if !endpoint.answered_since(flow.seen_at) => {
+                    endpoint.record_failure(now)
+                }
                 Some(_) | None => {}
             }
         }
     }
 
-    /// Forgets flows that are over; to be called a few times a second.
+    /// Expires flows and pending requests; must be called a few times a second.
     pub fn tick(&mut self, now: Duration) {
         if !self.stalled(now) {
-            self.note_refusals(now);
+            self.record_refusals(now);
         }
-        self.ticked = now;
-        let over: Vec<_> = self
+        self.ticked_at = now;
+        let expired: Vec<_> = self
             .flows
             .iter()
             .filter(|(_, flow)| {
-                let limit = match flow.closed || !flow.open {
-                    true => LINGER,
-                    false => IDLE,
+                let timeout = match flow.closed || !flow.open {
+                    true => CLOSED_TIMEOUT,
+                    false => IDLE_TIMEOUT,
                 };
-                now.saturating_sub(flow.seen) > limit
+                now.saturating_sub(flow.seen_at) > timeout
             })
             .map(|(key, _)| *key)
             .collect();
-        for key in over {
-            self.drop_flow(&key);
+        for key in expired {
+            self.remove_flow(&key);
         }
         let endpoints = &mut self.endpoints;
         for flow in self.flows.values_mut() {
             let stuck = flow
                 .request
-                .is_some_and(|request| now.saturating_sub(request.since) > REQUEST);
+                .is_some_and(|request| now.saturating_sub(request.first_at) > REQUEST_TIMEOUT);
             if stuck && let Some(endpoint) = endpoints.get_mut(flow.endpoint) {
                 flow.request = None;
-                endpoint.own.busy = endpoint.own.busy.saturating_sub(1);
+                endpoint.own_load.busy = endpoint.own_load.busy.saturating_sub(1);
             }
         }
     }
@@ -304,27 +306,27 @@
         &self,
         now: Duration,
         targets: &[Target],
-        but: Option<EndpointKey>,
+        excluded: Option<EndpointKey>,
         random: &mut impl Rng,
     ) -> Option<EndpointKey> {
         let total: u32 = targets.iter().map(|target| target.weight).sum();
-        let mut lot = random.random_range(0..total.max(1));
+        let mut draw = random.random_range(0..total.max(1));
         let first = targets.iter().position(|target| {
-            let hit = lot < target.weight;
-            lot = lot.saturating_sub(target.weight);
-            hit
+            let selected = draw < target.weight;
+            draw = draw.saturating_sub(target.weight);
+            selected
         })?;
         let (before, rest) = targets.split_at(first);
-        let in_turn = rest.iter().chain(before);
-        let mut usable = in_turn.filter(|target| target.weight > 0);
-        usable.find_map(|target| self.choose_one(now, target.service, but, random))
+        let in_order = rest.iter().chain(before);
+        let mut usable = in_order.filter(|target| target.weight > 0);
+        usable.find_map(|target| self.choose_from_service(now, target.service, excluded, random))
     }
 
-    fn choose_one(
+    fn choose_from_service(
         &self,
         now: Duration,
         service: ServiceKey,
-        but: Option<EndpointKey>,
+        excluded: Option<EndpointKey>,
         random: &mut impl Rng,
     ) -> Option<EndpointKey> {
         let members = self.members.get(service)?;
@@ -334,7 +336,7 @@
                 .filter_map(|key| Some((*key, self.endpoints.get(*key)?)));
             known.filter(|(key, endpoint)| self.references.get(&endpoint.reference) == Some(key))
         };
-        let others = candidates().filter(|(key, _)| Some(*key) != but);
+        let others = candidates().filter(|(key, _)| Some(*key) != excluded);
         choice::choose(now, others, random).or_else(|| choice::choose(now, candidates(), random))
     }
 
@@ -346,31 +348,31 @@
         if let Some(members) = self.members.get_mut(service) {
             members.push(key);
         }
-        self.claim(reference);
+        self.assign_reference(reference);
     }
 
-    fn renew(&mut self, key: EndpointKey, endpoint: Endpoint) {
+    fn replace(&mut self, key: EndpointKey, endpoint: Endpoint) {
         let Some(held) = self.endpoints.get_mut(key) else {
             return;
         };
-        let reborn = held.incarnation != endpoint.incarnation;
+        let restarted = held.incarnation != endpoint.incarnation;
         let former = held.service;
         let service = endpoint.service;
         *held = Endpoint {
-            avoid: held.avoid,
-            unreachable: held.unreachable,
+            backoff: held.backoff,
+            unreachable_at: held.unreachable_at,
             progress_at: held.progress_at,
-            work: held.work,
-            elsewhere: held.elsewhere,
-            own: held.own,
+            response_time: held.response_time,
+            external_load: held.external_load,
+            own_load: held.own_load,
             ..endpoint
         };
-        if reborn {
-            held.avoid = (Duration::ZERO, 0);
-            held.unreachable = None;
+        if restarted {
+            held.backoff = (Duration::ZERO, 0);
+            held.unreachable_at = None;
             held.progress_at = None;
-            held.work = None;
-            held.own = Load::default();
+            held.response_time = None;
+            held.own_load = Load::default();
             self.flows.retain(|_, flow| flow.endpoint != key);
         }
         if former != service {
@@ -383,42 +385,42 @@
         }
     }
 
-    /// Gives a reference to one of the endpoints that it stands for: all entries choose the same.
-    /// The others take no flows while that one is known.
-    fn claim(&mut self, reference: Reference) {
-        let sharing = self
+    /// Assigns a reference that several endpoints share to one of them; all entries select the same
+    /// one. The others get no flows while that one is known.
+    fn assign_reference(&mut self, reference: Reference) {
+        let candidates = self
             .endpoints
             .iter()
             .filter(|(_, endpoint)| endpoint.reference == reference);
-        let first = sharing.min_by_key(|(_, endpoint)| (endpoint.incarnation, &endpoint.name));
+        let first = candidates.min_by_key(|(_, endpoint)| (endpoint.incarnation, &endpoint.name));
         if let Some((key, _)) = first {
             self.references.insert(reference, key);
         }
     }
 
-    fn keep(&mut self, key: FlowKey, flow: Flow) {
-        if self.flows.len() >= MOST_FLOWS {
+    fn insert_flow(&mut self, key: FlowKey, flow: Flow) {
+        if self.flows.len() >= MAX_FLOWS {
             return;
         }
         if let Some(endpoint) = self.endpoints.get_mut(flow.endpoint) {
-            endpoint.own.flows += 1;
+            endpoint.own_load.flows += 1;
         }
         self.flows.insert(key, flow);
     }
 
-    fn drop_flow(&mut self, key: &FlowKey) {
+    fn remove_flow(&mut self, key: &FlowKey) {
         let Some(flow) = self.flows.remove(key) else {
             return;
         };
         if let Some(endpoint) = self.endpoints.get_mut(flow.endpoint) {
-            let own = &mut endpoint.own;
+            let own = &mut endpoint.own_load;
             own.busy = own.busy.saturating_sub(u32::from(flow.request.is_some()));
             own.flows = own.flows.saturating_sub(u32::from(!flow.closed));
         }
     }
 
-    /// Notes what a packet tells; returns whether the flow's endpoint is out of reach.
-    fn note(
+    /// Updates a flow and its endpoint from a packet; returns whether the endpoint is unreachable.
+    fn record(
         &mut self,
         now: Duration,
         key: FlowKey,
@@ -427,11 +429,11 @@
     ) -> bool {
         let held = self.flows.get(&key);
         if held.is_none_or(|flow| flow.endpoint != endpoint) {
-            self.drop_flow(&key);
-            self.keep(key, Flow::new(now, endpoint).with_open());
+            self.remove_flow(&key);
+            self.insert_flow(key, Flow::new(now, endpoint).with_open());
         }
         match (self.flows.get_mut(&key), self.endpoints.get_mut(endpoint)) {
-            (Some(flow), Some(endpoint)) => flow.note(now, endpoint, progress),
+            (Some(flow), Some(endpoint)) => flow.record(now, endpoint, progress),
             _ => false,
         }
     }
--- a/crates/placement/src/reference.rs
+++ b/crates/placement/src/reference.rs
@@ -1,4 +1,4 @@
-//! The reference to an endpoint that packets carry.
+//! Endpoint references carried in packets.
 
 use std::{
     hash::Hasher as _,
@@ -7,15 +7,15 @@
 
 use siphasher::sip::SipHasher13;
 
-/// The reference to an endpoint that packets carry; zero stands for none.
+/// A reference to an endpoint, carried in packets; zero means none.
 ///
-/// It follows from the endpoint's name alone, so that all entries find the same one without a word
-/// between them, also after a restart.
+/// It is a hash of the endpoint's name alone, so that all entries compute the same one without
+/// coordination, also after a restart.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Reference(NonZeroU32);
 
 impl Reference {
-    /// The reference to the endpoint of that name.
+    /// Computes the reference to the endpoint named `name`.
     pub fn to(name: &str) -> Self {
         let mut hasher = SipHasher13::new();
         hasher.write(name.as_bytes());
@@ -25,12 +25,12 @@
         Self(NonZeroU32::new(number).unwrap_or(NonZeroU32::MIN))
     }
 
-    /// The reference in a packet; none if it carries none.
+    /// Decodes the reference field of a packet; none if the field is zero.
     pub fn read(number: u32) -> Option<Self> {
         NonZeroU32::new(number).map(Self)
     }
 
-    /// The number that packets carry.
+    /// The value of the reference field in packets.
     pub const fn number(self) -> u32 {
         self.0.get()
     }
--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -1,36 +1,36 @@
-//! A request that an endpoint works on, as its caller's packets show it.
+//! A pending request, tracked by the packets of its client.
 
 use std::time::Duration;
 
-/// Least time between two sendings of a packet: one that comes sooner waited on its way.
-const RESEND: Duration = Duration::from_millis(150);
+/// Shortest retransmission interval: a copy that arrives sooner was delayed in the network.
+const RESEND_MIN: Duration = Duration::from_millis(150);
 
-/// What a caller's packet tells of its flow.
+/// Sequence state of a flow, read from a packet of its client.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Progress {
-    /// Bytes of the endpoint's that have arrived at the caller.
+    /// Acknowledgement number: the bytes of the endpoint that the client has received.
     pub acknowledged: u32,
-    /// Whether the caller closes or breaks off the flow.
+    /// Whether the packet closes or resets the flow.
     pub closing: bool,
-    /// Number of data bytes.
+    /// Payload length, in bytes.
     pub length: u16,
-    /// Number of the first data byte.
+    /// Sequence number of the first payload byte.
     pub sequence: u32,
 }
 
-/// A request that the endpoint has not begun to answer.
+/// A request without a first byte of response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Request {
-    /// What the caller had acknowledged when it sent the request.
+    /// Acknowledgement number at which the client sent the request.
     pub acknowledged: u32,
-    /// When its last packet came.
-    pub last: Duration,
-    /// How often its last packet was sent again, as far as it passed this entry.
-    pub repeats: u32,
-    /// Its last packet's first byte.
+    /// When its last packet arrived.
+    pub last_at: Duration,
+    /// Retransmissions of its last packet that passed through this entry.
+    pub retransmissions: u32,
+    /// Sequence number of its last packet.
     pub sequence: u32,
-    /// When it came.
-    pub since: Duration,
+    /// When its first packet arrived.
+    pub first_at: Duration,
 }
 
 impl Request {
@@ -38,26 +38,26 @@
     pub const fn new(now: Duration, progress: Progress) -> Self {
         Self {
             acknowledged: progress.acknowledged,
-            last: now,
-            repeats: 0,
+            last_at: now,
+            retransmissions: 0,
             sequence: progress.sequence,
-            since: now,
+            first_at: now,
         }
     }
 
-    /// Notes a packet of the request; returns whether the caller sent it again.
-    pub fn take(&mut self, now: Duration, progress: Progress) -> bool {
-        let again = progress.sequence == self.sequence;
-        if !again {
+    /// Records a packet of the request; returns whether it is a retransmission.
+    pub fn record(&mut self, now: Duration, progress: Progress) -> bool {
+        let repeated = progress.sequence == self.sequence;
+        if !repeated {
             self.sequence = progress.sequence;
-            self.last = now;
+            self.last_at = now;
             return false;
         }
-        if now.saturating_sub(self.last) < RESEND {
+        if now.saturating_sub(self.last_at) < RESEND_MIN {
             return false;
         }
-        self.last = now;
-        self.repeats += 1;
+        self.last_at = now;
+        self.retransmissions += 1;
         true
     }
 }
--- a/crates/placement/tests/load.rs
+++ b/crates/placement/tests/load.rs
@@ -1,4 +1,4 @@
-//! Patterns of load: who gets the flows when many entries choose with a view that lags.
+//! Load distribution when many entries select endpoints by outdated load reports.
 
 use std::{
     collections::HashMap,
@@ -18,13 +18,13 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-/// Requests that an endpoint works on.
+/// Requests that an endpoint processes at once.
 const SLOTS: u16 = 2;
 
-/// Requests that an endpoint holds, those in its queue among them.
-const HELD: u32 = 10;
+/// Requests that an endpoint holds, including its queue.
+const CAPACITY: u32 = 10;
 
-/// Several entries, each with a pool of its own.
+/// Several entries, each with its own pool.
 struct Entries {
     entries: Vec<(Pool, ChaCha8Rng)>,
     placed: HashMap<Box<str>, u32>,
@@ -32,7 +32,7 @@
 }
 
 impl Entries {
-    /// Entries that know the same endpoints: some of their own data centre, the others not.
+    /// Creates entries with the same endpoints: `local` ones in their data centre, the rest elsewhere.
     fn new(count: u64, local: u8, remote: u8) -> Self {
         let mut entries = Vec::new();
         let mut targets = Vec::new();
@@ -58,10 +58,10 @@
         }
     }
 
-    /// Tells all entries what the others see of an endpoint.
-    fn tell(&mut self, name: &str, load: Load) {
+    /// Reports the load of an endpoint from other entries to all entries.
+    fn report(&mut self, name: &str, load: Load) {
         for (pool, _) in &mut self.entries {
-            pool.elsewhere(Reference::to(name), load);
+            pool.set_external_load(Reference::to(name), load);
         }
     }
 
@@ -79,33 +79,33 @@
     }
 }
 
-/// A release at a large deployment: a new endpoint joins 29 that are in use, and each of 60 entries
-/// opens one flow before it hears what the others did.
+/// A new endpoint joins 29 busy ones during a release, and each of 60 entries opens one flow before
+/// load reports arrive: the new endpoint must not be flooded.
 #[test]
 fn open_empty_endpoint_among_busy_ones() {
     let mut entries = Entries::new(60, 30, 90);
     for number in 1..120 {
-        entries.tell(&format!("i-{number}"), Load { busy: 1, flows: 10 });
+        entries.report(&format!("i-{number}"), Load { busy: 1, flows: 10 });
     }
     entries.open(Duration::ZERO, 1);
     let most = entries.placed.values().max().copied().unwrap();
-    assert!(most <= HELD, "{:?}", entries.placed);
+    assert!(most <= CAPACITY, "{:?}", entries.placed);
 }
 
-/// Callers return all at once to a few entries that have just started.
+/// All clients reconnect at once to a few restarted entries.
 #[test]
-fn open_herd_after_a_restart() {
+fn open_after_restart_of_entries() {
     let mut entries = Entries::new(9, 4, 10);
     for port in 0..4 {
         entries.open(Duration::from_millis(u64::from(port)), port);
     }
     let most = entries.placed.values().max().copied().unwrap();
-    assert!(most <= HELD, "{:?}", entries.placed);
+    assert!(most <= CAPACITY, "{:?}", entries.placed);
 }
 
-/// Calm: all flows stay in the data centre.
+/// At low load, all flows stay in the data centre.
 #[test]
-fn open_calm_day() {
+fn open_low_load() {
     let mut entries = Entries::new(3, 4, 12);
     for port in 0..6 {
         entries.open(Duration::ZERO, port);
@@ -115,22 +115,22 @@
     }
 }
 
-/// All callers are in one data centre: its endpoints overflow to the others before they queue.
+/// All clients are in one data centre: flows overflow to the others before long queues build up.
 #[test]
-fn open_crowded_data_centre() {
+fn open_overloaded_data_centre() {
     let mut entries = Entries::new(1, 4, 12);
     for number in 0..4 {
         let busy = 3 * u32::from(SLOTS);
-        entries.tell(&format!("i-{number}"), Load { busy, flows: 40 });
+        entries.report(&format!("i-{number}"), Load { busy, flows: 40 });
     }
     entries.open(Duration::ZERO, 1);
     assert!((0..4).all(|number| !entries.placed.contains_key(format!("i-{number}").as_str())));
 }
 
-/// Several regions, one data centre of the own one crowded: flows overflow to the other data centre of
-/// the region, and to another region only once that one has long queues too.
+/// Several regions, with one data centre of the local region overloaded: flows overflow to the other data
+/// centre of the region, and to another region only once that data centre has long queues too.
 #[test]
-fn open_crowded_region() {
+fn open_overloaded_region() {
     for (queued, expected) in [(1, Distance::Region), (6, Distance::Far)] {
         let mut entries = Entries::new(1, 4, 8);
         let (pool, _) = &mut entries.entries[0];
@@ -146,10 +146,10 @@
             flows: 0,
         };
         for number in 0..4 {
-            entries.tell(&format!("i-{number}"), load(9));
+            entries.report(&format!("i-{number}"), load(9));
         }
         for number in 4..8 {
-            entries.tell(&format!("i-{number}"), load(queued));
+            entries.report(&format!("i-{number}"), load(queued));
         }
         for port in 0..20 {
             entries.open(Duration::ZERO, port);
@@ -163,13 +163,13 @@
     }
 }
 
-/// An endpoint has ended and its instance resets each opening packet at once. It looks idle, and its
-/// callers come back at once: most of their tries must go elsewhere within a second.
+/// An endpoint has ended, and its instance resets each opening packet at once. The endpoint looks idle
+/// and its clients reconnect at once: within a second, most attempts must go to other endpoints.
 #[test]
 fn open_endpoint_that_resets_at_once() {
     let mut entries = Entries::new(1, 4, 0);
     for number in 1..4 {
-        entries.tell(&format!("i-{number}"), Load { busy: 3, flows: 40 });
+        entries.report(&format!("i-{number}"), Load { busy: 3, flows: 40 });
     }
     let (pool, random) = &mut entries.entries[0];
     let (mut early, mut late) = (0, 0);
@@ -189,15 +189,15 @@
             continue;
         }
         let reference = Some(Reference::to(&name));
-        pool.pass(now, flow, reference, Progress::default(), true)
+        pool.lookup(now, flow, reference, Progress::default(), true)
             .unwrap();
     }
     assert!(early > 0, "the endpoint looks idle at first");
-    // An even share would be 50 of the 200 tries.
-    assert!(late < 50, "{late} of 200 tries in the last two seconds");
+    // An even share would be 50 of the 200 attempts.
+    assert!(late < 50, "{late} of 200 attempts in the last two seconds");
 }
 
-/// One endpoint works five times as long as the others: it gets fewer flows than its even share.
+/// One endpoint takes five times as long as the others: it gets less than an even share of flows.
 #[test]
 fn open_slow_endpoint() {
     let mut entries = Entries::new(1, 4, 0);
@@ -213,8 +213,8 @@
             };
             let key = pool.open(start, flow, &entries.targets, random).unwrap();
             let name = pool.get(key).unwrap().name.clone();
-            let work = if *name == *"i-0" { 150 } else { 30 };
-            slow += u32::from(work == 150);
+            let response_ms = if *name == *"i-0" { 150 } else { 30 };
+            slow += u32::from(response_ms == 150);
             let reference = Some(Reference::to(&name));
             let request = Progress {
                 length: 10,
@@ -225,9 +225,9 @@
                 closing: true,
                 ..Progress::default()
             };
-            let done = start + Duration::from_millis(work);
-            pool.pass(start, flow, reference, request, true).unwrap();
-            pool.pass(done, flow, reference, answered, true).unwrap();
+            let done = start + Duration::from_millis(response_ms);
+            pool.lookup(start, flow, reference, request, true).unwrap();
+            pool.lookup(done, flow, reference, answered, true).unwrap();
         }
     }
     // An even share would be 200 of the 800 flows.
--- a/crates/placement/tests/resets.rs
+++ b/crates/placement/tests/resets.rs
@@ -1,5 +1,5 @@
-//! Which resets are ever given: all short orders of what may happen to two flows of one endpoint, and
-//! many long ones drawn by lot.
+//! Flows are reset only if their endpoint has left or was unreachable, checked over all short
+//! sequences of events on two flows of one endpoint, and over many long random ones.
 
 use std::{
     collections::HashSet,
@@ -26,75 +26,75 @@
 };
 use rand_chacha::ChaCha8Rng;
 
-/// Steps of each order in CI; `EXPLORE_DEPTH=8` takes two minutes.
+/// Length of the exhaustively checked sequences in CI; `EXPLORE_DEPTH=8` takes two minutes.
 const DEPTH: u32 = 6;
 
-/// Long orders, and the steps of each.
-const WALKS: u32 = 5_000;
-const WALK: usize = 60;
+/// Number of random sequences, and the length of each.
+const RANDOM_SEQUENCES: u32 = 5_000;
+const RANDOM_LENGTH: usize = 60;
 
-/// Time for which a fault of an endpoint or its ways may explain a reset: the users' bound.
-const CONTACT: Duration = Duration::from_secs(4);
+/// Time for which a fault of an endpoint or its network path justifies a reset: the users' limit.
+const FAULT_LIMIT: Duration = Duration::from_secs(4);
 
-/// Time after which a caller sends a packet again that was not acknowledged, at first.
-const RESEND: Duration = Duration::from_millis(200);
+/// Time after which a client first retransmits an unacknowledged packet.
+const RESEND_MIN: Duration = Duration::from_millis(200);
 
-/// Longest time after which it does.
-const RESEND_LAST: Duration = Duration::from_millis(1_600);
+/// Longest retransmission interval.
+const RESEND_MAX: Duration = Duration::from_millis(1_600);
 
-/// What may happen next.
+/// An event in a sequence.
 #[derive(Clone, Copy, Debug)]
-enum Step {
-    /// A caller takes note of an answer; the packet passes this entry.
+enum Event {
+    /// A client acknowledges a response; the packet passes through this entry.
     Acknowledge(usize),
-    /// The endpoint can no longer be reached, or can again.
-    Darken(bool),
-    /// The endpoint ends for good and is announced to have left.
+    /// The endpoint becomes unreachable, or reachable again.
+    Unreachable(bool),
+    /// The endpoint ends and is announced as gone.
     Leave,
-    /// The endpoint is announced in a phase while it lives.
+    /// A running endpoint is announced in a phase.
     Phase(Phase),
-    /// A caller sends a request or sends it again, through this entry or another one.
+    /// A client sends or retransmits a request, through this entry or another one.
     Send(usize, bool),
     /// Time passes.
     Wait(u64),
 }
 
-const STEPS: [Step; 13] = [
-    Step::Acknowledge(0),
-    Step::Acknowledge(1),
-    Step::Darken(false),
-    Step::Darken(true),
-    Step::Leave,
-    Step::Phase(Phase::Draining),
-    Step::Phase(Phase::Silent),
-    Step::Send(0, false),
-    Step::Send(0, true),
-    Step::Send(1, true),
-    Step::Wait(160),
-    Step::Wait(450),
-    Step::Wait(4_000),
+const EVENTS: [Event; 13] = [
+    Event::Acknowledge(0),
+    Event::Acknowledge(1),
+    Event::Unreachable(false),
+    Event::Unreachable(true),
+    Event::Leave,
+    Event::Phase(Phase::Draining),
+    Event::Phase(Phase::Silent),
+    Event::Send(0, false),
+    Event::Send(0, true),
+    Event::Send(1, true),
+    Event::Wait(160),
+    Event::Wait(450),
+    Event::Wait(4_000),
 ];
 
-/// A flow as its caller sees it.
+/// The client side of a flow.
 #[derive(Clone, Copy, Debug, Default, Hash)]
-struct Caller {
-    /// Answers that it has taken note of.
+struct Client {
+    /// Responses that it has acknowledged.
     acknowledged: u32,
-    /// Answers that it has got.
-    answered: u32,
-    /// When it sent its request last, if no answer has come.
-    open: Option<Duration>,
+    /// Responses that it has received.
+    received: u32,
+    /// When it last sent its unanswered request.
+    pending_since: Option<Duration>,
     sequence: u32,
 }
 
-/// The entry's pool beside what is really so.
+/// The entry's pool, and the actual state of the clients and the endpoint.
 #[derive(Clone, Debug)]
-struct World {
-    callers: [Caller; 2],
-    /// When the endpoint was dark last.
-    dark: Option<Duration>,
+struct Model {
+    clients: [Client; 2],
+    /// When the endpoint was last unreachable.
+    unreachable_at: Option<Duration>,
     gone: bool,
-    is_dark: bool,
+    unreachable: bool,
     now: Duration,
     pool: Pool,
     service: ServiceKey,
@@ -107,22 +107,22 @@
     }
 }
 
-impl World {
+impl Model {
     fn new() -> Self {
         let mut pool = Pool::new();
         let service = pool.service("s");
-        let mut world = Self {
-            callers: Default::default(),
-            dark: None,
+        let mut model = Self {
+            clients: Default::default(),
+            unreachable_at: None,
             gone: false,
-            is_dark: false,
+            unreachable: false,
             now: Duration::from_secs(10),
             pool,
             service,
         };
-        world.announce(Phase::Ready);
-        world.pool.tick(world.now);
-        world
+        model.announce(Phase::Ready);
+        model.pool.tick(model.now);
+        model
     }
 
     fn announce(&mut self, phase: Phase) {
@@ -131,107 +131,113 @@
         self.pool.update(endpoint.with_phase(phase));
     }
 
-    /// Whether a reset is right: the endpoint has ended, or was out of reach lately.
-    fn excused(&self) -> bool {
-        let lately = |at| self.now.saturating_sub(at) <= CONTACT;
-        self.gone || self.dark.is_some_and(lately)
+    /// Whether a reset is justified: the endpoint has left, or was unreachable recently.
+    fn justified(&self) -> bool {
+        let recent = |at| self.now.saturating_sub(at) <= FAULT_LIMIT;
+        self.gone || self.unreachable_at.is_some_and(recent)
     }
 
-    /// Takes a step; false if it can't come now. Returns what was wrong as an error.
-    fn step(&mut self, step: Step) -> Result<bool, &'static str> {
-        match step {
-            Step::Acknowledge(number) => {
-                let caller = &mut self.callers[number];
-                if caller.acknowledged == caller.answered {
+    /// Applies an event; returns false if it cannot occur in this state, and the violated property as an
+    /// error.
+    fn apply(&mut self, event: Event) -> Result<bool, &'static str> {
+        match event {
+            Event::Acknowledge(number) => {
+                let client = &mut self.clients[number];
+                if client.acknowledged == client.received {
                     return Ok(false);
                 }
-                caller.acknowledged = caller.answered;
+                client.acknowledged = client.received;
                 self.pass(number, 0)?;
             }
-            Step::Darken(dark) if dark == self.is_dark || self.gone => return Ok(false),
-            Step::Darken(dark) => {
-                self.is_dark = dark;
-                self.dark = Some(self.now);
+            Event::Unreachable(unreachable) if unreachable == self.unreachable || self.gone => {
+                return Ok(false);
             }
-            Step::Leave if self.gone => return Ok(false),
-            Step::Leave => {
+            Event::Unreachable(unreachable) => {
+                self.unreachable = unreachable;
+                self.unreachable_at = Some(self.now);
+            }
+            Event::Leave if self.gone => return Ok(false),
+            Event::Leave => {
                 self.gone = true;
                 self.announce(Phase::Gone);
             }
-            Step::Phase(_) if self.gone => return Ok(false),
-            Step::Phase(phase) => self.announce(phase),
-            Step::Send(number, here) => return self.send(number, here),
-            Step::Wait(millis) if self.overdue(millis) => return Ok(false),
-            Step::Wait(millis) => self.wait(millis)?,
+            Event::Phase(_) if self.gone => return Ok(false),
+            Event::Phase(phase) => self.announce(phase),
+            Event::Send(number, through_entry) => return self.send(number, through_entry),
+            Event::Wait(millis) if self.retransmits_within(millis) => return Ok(false),
+            Event::Wait(millis) => self.wait(millis)?,
         }
         Ok(true)
     }
 
-    /// A caller sends a request again only after its pause, and then not if it was acknowledged.
-    fn send(&mut self, number: usize, here: bool) -> Result<bool, &'static str> {
-        let (now, lost) = (self.now, self.is_dark || self.gone);
-        let caller = &mut self.callers[number];
-        match caller.open {
-            Some(at) if now.saturating_sub(at) < RESEND => return Ok(false),
+    /// Sends a request, or retransmits it after the retransmission interval if it is unanswered.
+    fn send(&mut self, number: usize, through_entry: bool) -> Result<bool, &'static str> {
+        let (now, lost) = (self.now, self.unreachable || self.gone);
+        let client = &mut self.clients[number];
+        match client.pending_since {
+            Some(at) if now.saturating_sub(at) < RESEND_MIN => return Ok(false),
             Some(_) => {}
-            None => caller.sequence += 1,
+            None => client.sequence += 1,
         }
         if lost {
-            caller.open = Some(now);
+            client.pending_since = Some(now);
         } else {
-            caller.open = None;
-            caller.answered += 1;
+            client.pending_since = None;
+            client.received += 1;
         }
-        if here {
+        if through_entry {
             self.pass(number, 10)?;
         }
         Ok(true)
     }
 
-    /// Whether a caller sends a request again before that time has passed.
-    fn overdue(&self, millis: u64) -> bool {
+    /// Whether a client would retransmit a request before that time has passed.
+    fn retransmits_within(&self, millis: u64) -> bool {
         let then = self.now + Duration::from_millis(millis);
-        let mut open = self.callers.iter().filter_map(|caller| caller.open);
-        open.any(|at| then.saturating_sub(at) > RESEND_LAST)
+        let mut pending = self
+            .clients
+            .iter()
+            .filter_map(|client| client.pending_since);
+        pending.any(|at| then.saturating_sub(at) > RESEND_MAX)
     }
 
     fn wait(&mut self, millis: u64) -> Result<(), &'static str> {
-        // The entry looks at what is over four times a second.
+        // The entry ticks four times a second.
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
             self.now = end.min(self.now + Duration::from_millis(250));
-            if self.is_dark {
-                self.dark = Some(self.now);
+            if self.unreachable {
+                self.unreachable_at = Some(self.now);
             }
             self.pool.tick(self.now);
-            if !self.pool.orphans(self.now).is_empty() && !self.excused() {
-                return Err("an idle flow was reset whose endpoint lives");
+            if !self.pool.orphans(self.now).is_empty() && !self.justified() {
+                return Err("an idle flow was reset although its endpoint is reachable");
             }
         }
         Ok(())
     }
 
     fn pass(&mut self, number: usize, length: u16) -> Result<(), &'static str> {
-        let caller = self.callers[number];
+        let client = self.clients[number];
         let progress = Progress {
-            acknowledged: caller.acknowledged,
+            acknowledged: client.acknowledged,
             closing: false,
             length,
-            sequence: caller.sequence,
+            sequence: client.sequence,
         };
         let reference = Some(Reference::to("i-1"));
         let passed = self
             .pool
-            .pass(self.now, flow(number), reference, progress, true);
+            .lookup(self.now, flow(number), reference, progress, true);
         match passed.map(|key| self.pool.get(key).map(|endpoint| &*endpoint.name)) {
             Ok(Some("i-1")) => Ok(()),
-            Ok(_) => Err("a packet went to another endpoint"),
-            Err(_) if self.excused() => Ok(()),
-            Err(_) => Err("a flow was reset whose endpoint lives"),
+            Ok(_) => Err("a packet was forwarded to another endpoint"),
+            Err(_) if self.justified() => Ok(()),
+            Err(_) => Err("a flow was reset although its endpoint is reachable"),
         }
     }
 
-    /// Hash of all that decides what comes later.
+    /// Hash of the whole state.
     fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         format!("{self:?}").hash(&mut hasher);
@@ -239,25 +245,25 @@
     }
 }
 
-/// Tries all orders; returns the first one that goes wrong, and how many states there were.
-fn explore(depth: u32) -> (usize, Option<(Vec<Step>, &'static str)>) {
+/// Applies all sequences of events; returns the number of states, and the first failing sequence.
+fn explore(depth: u32) -> (usize, Option<(Vec<Event>, &'static str)>) {
     let mut seen = HashSet::new();
-    let mut front = vec![(World::new(), Vec::new())];
+    let mut frontier = vec![(Model::new(), Vec::new())];
     for _ in 0..depth {
         let mut next = Vec::new();
-        for (world, path) in &front {
-            for step in STEPS {
-                let mut world = world.clone();
-                let mut path = path.clone();
-                path.push(step);
-                match world.step(step) {
-                    Ok(true) if seen.insert(world.fingerprint()) => next.push((world, path)),
+        for (model, events) in &frontier {
+            for event in EVENTS {
+                let mut model = model.clone();
+                let mut events = events.clone();
+                events.push(event);
+                match model.apply(event) {
+                    Ok(true) if seen.insert(model.fingerprint()) => next.push((model, events)),
                     Ok(_) => {}
-                    Err(wrong) => return (seen.len(), Some((path, wrong))),
+                    Err(violation) => return (seen.len(), Some((events, violation))),
                 }
             }
         }
-        front = next;
+        frontier = next;
     }
     (seen.len(), None)
 }
@@ -265,27 +271,27 @@
 #[test]
 fn explore_resets() {
     let depth = std::env::var("EXPLORE_DEPTH").map(|depth| depth.parse().unwrap());
-    let (states, wrong) = explore(depth.unwrap_or(DEPTH));
-    assert!(wrong.is_none(), "{wrong:?}");
-    // Far fewer would mean that the steps no longer reach anything.
+    let (states, violation) = explore(depth.unwrap_or(DEPTH));
+    assert!(violation.is_none(), "{violation:?}");
+    // Far fewer would mean that events are no longer applied.
     assert!(states > 10_000, "{states}");
 }
 
 #[test]
-fn walk_resets() {
+fn random_resets() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    for _ in 0..WALKS {
-        let (mut world, mut path) = (World::new(), Vec::new());
-        while path.len() < WALK {
-            let step = *STEPS.choose(&mut random).unwrap();
-            // An endpoint that has left ends all that may go wrong.
-            let leaves = matches!(step, Step::Leave) && path.len() < WALK / 2;
-            if leaves || matches!(world.clone().step(step), Ok(false)) {
+    for _ in 0..RANDOM_SEQUENCES {
+        let (mut model, mut events) = (Model::new(), Vec::new());
+        while events.len() < RANDOM_LENGTH {
+            let event = *EVENTS.choose(&mut random).unwrap();
+            // Every reset is justified once the endpoint has left, so it leaves late.
+            let leaves = matches!(event, Event::Leave) && events.len() < RANDOM_LENGTH / 2;
+            if leaves || matches!(model.clone().apply(event), Ok(false)) {
                 continue;
             }
-            path.push(step);
-            let taken = world.step(step);
-            assert!(taken.is_ok(), "{taken:?} {path:?}");
+            events.push(event);
+            let applied = model.apply(event);
+            assert!(applied.is_ok(), "{applied:?} {events:?}");
         }
     }
 }
