--- a/crates/edge/src/border.rs
+++ b/crates/edge/src/adapter.rs
@@ -1,4 +1,4 @@
-//! What a platform's adapter translates.
+//! The interface between this package and the adapter of a platform.
 
 use std::net::SocketAddrV4;
 
@@ -19,76 +19,76 @@
 
 use crate::document::Document;
 
-/// What a caller's packet is for.
+/// The kind of a client's packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// It belongs to a flow that was opened before.
+    /// It belongs to an open flow.
     Later,
-    /// It opens a flow; the number counts the copies that were sent before it.
+    /// It opens a flow; the number counts the copies that the client sent before it.
     Open(u32),
 }
 
-/// A caller's packet.
+/// A client's packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Packet {
     /// Its flow.
     pub flow: FlowKey,
-    /// What it is for.
+    /// Its kind.
     pub kind: Kind,
-    /// What it tells of its flow.
+    /// Sequence state of its flow.
     pub progress: Progress,
-    /// The reference that it repeats; none in an opening packet.
+    /// The reference that it carries; none in an opening packet.
     pub reference: Option<Reference>,
 }
 
-/// A call of an endpoint or an operator.
+/// A control request of an endpoint or an operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Call {
     /// An endpoint announces itself.
     Announce(Announcement),
-    /// An endpoint leaves: its name and, if it gave it, its incarnation.
+    /// An endpoint leaves: its name and, if given, its incarnation.
     Depart(Box<str>, Option<u64>),
     /// An operator publishes a document.
     Publish,
-    /// Someone reads the document in force.
+    /// A read of the document in force.
     Read,
 }
 
-/// The answer to a call that was carried out.
+/// The result of a successful call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// It is done.
+    /// The call has been carried out.
     Done,
-    /// The document in force, as it was sent.
+    /// The document in force, as it was published.
     Document(Bytes),
-    /// Another store at this address has to be called.
+    /// The call must be sent to the store with this control address.
     Elsewhere(SocketAddrV4),
 }
 
-/// What a platform's adapter translates, each way.
+/// Adapter of a platform's protocol.
 pub trait Border: 'static {
-    /// Decodes a datagram of a router.
+    /// Decodes a datagram from a router.
     ///
     /// # Errors
     ///
     /// [`Code::PacketTruncated`] or [`Code::PacketMalformed`].
     fn packet(datagram: &[u8]) -> Result<Packet, Code>;
 
-    /// Writes the datagram that takes a packet to its endpoint.
+    /// Encodes the datagram that forwards a packet to its endpoint.
     fn forward(datagram: &[u8], endpoint: &Endpoint, out: &mut Vec<u8>);
 
-    /// Writes the datagram that resets a caller's flow.
+    /// Encodes the datagram that resets the flow of a packet.
     fn reset(packet: &Packet, out: &mut Vec<u8>);
 
-    /// The number by which an endpoint of that name tells that a packet is meant for it; none if
-    /// the name is no endpoint's.
+    /// The number by which the endpoint named `name` recognises packets addressed to it; none if this
+    /// is not a valid name of an endpoint.
     fn tag(name: &str) -> Option<u64>;
 
     /// Decodes and checks an operator's document.
     ///
     /// # Errors
     ///
-    /// [`Code::PublicationInvalid`], with what is wrong.
+    /// [`Code::PublicationInvalid`], with a description of the fault.
     fn document(bytes: &[u8]) -> Result<Document, (Code, Box<str>)>;
 
     /// Decodes a call.
@@ -98,9 +98,9 @@
     /// [`Code::CallUnknown`] or [`Code::AnnouncementMalformed`].
     fn call(parts: &Parts, body: &[u8]) -> Result<Call, (Code, Box<str>)>;
 
-    /// Encodes the answer to a call.
+    /// Encodes the response to a call.
     fn answer(parts: &Parts, result: Result<Reply, (Code, Box<str>)>) -> Response<Full<Bytes>>;
 
-    /// Encodes whether the process takes packets, if that is what the request asks.
+    /// Encodes the response to a readiness request, or to an unknown path.
     fn ready(parts: &Parts, ready: bool) -> Response<Full<Bytes>>;
 }
--- a/crates/edge/src/pages.rs
+++ b/crates/edge/src/admin.rs
@@ -1,4 +1,4 @@
-//! The pages for operators: the metrics, and what the process knows, as the command line reads it.
+//! The HTTP handler for operators: the metrics, and the state of the process for the command line.
 
 use std::{
     net::SocketAddrV4,
@@ -44,12 +44,12 @@
     settings::Settings, //
 };
 
-/// What a process can tell operators of itself.
-pub trait Described: 'static {
-    /// The last lines of the audit trail, oldest first; none if the process keeps none.
+/// State that a process exposes to operators.
+pub trait Inspect: 'static {
+    /// The last lines of the audit trail, oldest first; none if the process has no trail.
     fn audit(&self, query: &AuditQuery) -> Option<Vec<AuditLine>>;
 
-    /// The endpoints that it knows, in the order of their names.
+    /// The known endpoints, in the order of their names.
     fn endpoints(&self) -> Vec<Announcement>;
 
     /// The metrics.
@@ -58,15 +58,15 @@
     /// The settings.
     fn settings(&self) -> &Settings;
 
-    /// Its state.
+    /// The status of the process.
     fn status(&self) -> Status;
 
-    /// The planned stop.
+    /// The graceful shutdown.
     fn stop(&self) -> &Rc<Stop>;
 }
 
-/// Serves the pages, if the settings name a port. Without them the process still does its work.
-pub async fn expose<D: Described>(process: Rc<D>) {
+/// Serves the pages for operators if the settings name a port. A failure to listen is only logged.
+pub async fn serve<D: Inspect>(process: Rc<D>) {
     let settings = process.settings();
     let Some(port) = settings.metrics else {
         return;
@@ -75,19 +75,19 @@
     match TcpListener::bind(address).await {
         Ok(listener) => {
             let stop = process.stop().clone();
-            spawn(process::serve(stop, listener, Pages { process })).detach();
+            spawn(process::serve(stop, listener, AdminHandler { process })).detach();
         }
-        Err(error) => log::warn!(port; "the metrics are not served: {error}"),
+        Err(error) => log::warn!(port; "cannot serve the metrics: {error}"),
     }
 }
 
-/// The face towards operators.
+/// Answers requests of operators.
 #[derive(Debug)]
-struct Pages<D> {
+struct AdminHandler<D> {
     process: Rc<D>,
 }
 
-impl<D> Clone for Pages<D> {
+impl<D> Clone for AdminHandler<D> {
     fn clone(&self) -> Self {
         Self {
             process: self.process.clone(),
@@ -95,7 +95,7 @@
     }
 }
 
-impl<D: Described> Handler for Pages<D> {
+impl<D: Inspect> Handler for AdminHandler<D> {
     type Body = Full<Bytes>;
 
     fn handle(
@@ -118,7 +118,7 @@
     }
 }
 
-fn audit(process: &impl Described, uri: &Uri) -> Response<Full<Bytes>> {
+fn audit(process: &impl Inspect, uri: &Uri) -> Response<Full<Bytes>> {
     let count = query_value(uri, "count").map_or(Ok(AUDIT_LINES), str::parse);
     let section = query_value(uri, "section").map(Into::into);
     match count.map(|count| process.audit(&AuditQuery { count, section })) {
@@ -158,14 +158,14 @@
 }
 
 fn failure(error: &impl ToString) -> Response<Full<Bytes>> {
-    log::error!("a page cannot be encoded: {}", error.to_string());
+    log::error!("cannot encode a page: {}", error.to_string());
     let mut response = Response::new(Full::default());
     *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
     response
 }
 
-/// The process alone: entries and stores of a platform are asked one by one.
-fn overview(process: &impl Described) -> Overview {
+/// An overview of this process alone: operators query each entry and store separately.
+fn overview(process: &impl Inspect) -> Overview {
     let status = process.status();
     let (instance, log) = (&status.instance, status.log.as_ref());
     Overview {
--- a/crates/edge/src/backoff.rs
+++ b/crates/edge/src/backoff.rs
@@ -1,74 +1,73 @@
-//! How long a connection is waited for, and how soon it is tried again.
+//! Connect timeouts and exponential backoff between attempts.
 
 use std::time::Duration;
 
-/// First time for which a connection is waited for: several ways between two data centres of one
-/// region and back. What was sent to a machine that was dark is lost, so a new try is worth more
-/// than a longer wait.
-const CONNECT_FIRST: Duration = Duration::from_millis(100);
+/// First connect timeout: several round trips between two data centres of one region. Packets sent to
+/// a machine that was down are lost, so a new attempt is better than a longer wait.
+const CONNECT_TIMEOUT_MIN: Duration = Duration::from_millis(100);
 
-/// Longest such time: also enough for a way between two regions on a crowded link.
-const CONNECT_LAST: Duration = Duration::from_millis(1_600);
+/// Longest connect timeout: also enough for a congested link between two regions.
+const CONNECT_TIMEOUT_MAX: Duration = Duration::from_millis(1_600);
 
-/// Pause between the quick tries of a process that has just started: as short as a store's own
-/// start.
-const PAUSE_QUICK: Duration = Duration::from_millis(10);
+/// Pause between the quick attempts of a process that has just started: as short as the startup of a
+/// store.
+const QUICK_PAUSE: Duration = Duration::from_millis(10);
 
-/// Quick tries after a start, about three seconds: the stores may have lost power too, and come
-/// back one by one.
-const QUICK: u32 = 30;
+/// Quick attempts after a start, about three seconds: the stores may have lost power too, and restart
+/// one by one.
+const QUICK_ATTEMPTS: u32 = 30;
 
-/// Instances that a quick try goes to at once: settings name about as many.
-const WIDTH: usize = 3;
+/// Instances that a quick attempt connects to at once: about as many as there are seeds.
+const QUICK_WIDTH: usize = 3;
 
-/// First pause before another try.
-const PAUSE_FIRST: Duration = Duration::from_millis(50);
+/// First pause between attempts.
+const PAUSE_MIN: Duration = Duration::from_millis(50);
 
-/// Longest pause.
-const PAUSE_LAST: Duration = Duration::from_millis(400);
+/// Longest pause between attempts.
+const PAUSE_MAX: Duration = Duration::from_millis(400);
 
-/// How long a connection is waited for, and how soon it is tried again.
+/// Connect timeouts and exponential backoff between attempts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
     failures: u32,
-    /// Quick tries that are left.
+    /// Remaining quick attempts.
     quick: u32,
 }
 
 impl Backoff {
-    /// Begins with quick tries, as a process that has just started and can't work without.
+    /// Starts with quick attempts, for a process that cannot work without a connection.
     pub const fn quick() -> Self {
         Self {
             failures: 0,
-            quick: QUICK,
+            quick: QUICK_ATTEMPTS,
         }
     }
 
-    /// Time for which a connection is waited for.
+    /// Timeout of the next attempt.
     pub fn connect_timeout(self) -> Duration {
-        double(CONNECT_FIRST, self.failures).min(CONNECT_LAST)
+        double(CONNECT_TIMEOUT_MIN, self.failures).min(CONNECT_TIMEOUT_MAX)
     }
 
-    /// Number of instances to be tried at once.
+    /// Number of instances that the next attempt connects to at once.
     pub const fn width(self) -> usize {
         match self.quick {
             0 => 1,
-            _ => WIDTH,
+            _ => QUICK_WIDTH,
         }
     }
 
-    /// Notes a failure and returns the pause before the next try.
+    /// Records a failure and returns the pause before the next attempt.
     pub fn fail(&mut self) -> Duration {
         if self.quick > 0 {
             self.quick -= 1;
-            return PAUSE_QUICK;
+            return QUICK_PAUSE;
         }
-        let pause = double(PAUSE_FIRST, self.failures).min(PAUSE_LAST);
+        let pause = double(PAUSE_MIN, self.failures).min(PAUSE_MAX);
         self.failures = self.failures.saturating_add(1);
         pause
     }
 
-    /// Notes that a connection was made.
+    /// Records an established connection.
     pub fn succeed(&mut self) {
         *self = Self::default();
     }
--- a/crates/edge/src/kept_file.rs
+++ b/crates/edge/src/cache_file.rs
@@ -1,4 +1,4 @@
-//! A file on a store's disk that is no more than a hint after a restart: losing it loses nothing.
+//! A file on a store's disk that only speeds up a restart; losing it loses no data.
 
 use std::path::PathBuf;
 
@@ -8,17 +8,17 @@
     de::DeserializeOwned, //
 };
 
-/// A file on a store's disk that is no more than a hint after a restart.
+/// A file on a store's disk that only speeds up a restart.
 #[derive(Debug)]
-pub struct KeptFile {
-    /// Whether the last write failed, so that a disk that stays full is told of once.
+pub struct CacheFile {
+    /// Whether the last write failed, so that a disk that stays full is logged once.
     failed: bool,
     folder: PathBuf,
     name: &'static str,
 }
 
-impl KeptFile {
-    /// The file of that name in the data folder.
+impl CacheFile {
+    /// Creates a handle for the file `name` in the data folder.
     pub const fn new(folder: PathBuf, name: &'static str) -> Self {
         Self {
             failed: false,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Reads the file; none if there is none, or if it cannot be read.
+    /// Reads the file; none if it is missing or unreadable.
     pub fn load<T: DeserializeOwned>(&self) -> Option<T> {
         match store::read(&self.folder.join(self.name)) {
             Ok(value) => value,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Replaces the file; returns whether that was done.
+    /// Replaces the file; returns whether this succeeded.
     pub async fn replace<T: Serialize + Send + 'static>(&mut self, value: T) -> bool {
         let (folder, name) = (self.folder.clone(), self.name);
         let task = compio::runtime::spawn_blocking(move || store::write(&folder, name, &value));
--- a/crates/edge/src/clock.rs
+++ b/crates/edge/src/clock.rs
@@ -7,14 +7,14 @@
     clock_gettime, //
 };
 
-/// Counts the time since the process started, that in which the machine was suspended among it.
+/// Time since the process started, including time in which the machine was suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Duration,
 }
 
 impl Clock {
-    /// Starts at zero.
+    /// Starts a clock at zero.
     pub fn new() -> Self {
         Self { start: read() }
     }
@@ -27,7 +27,7 @@
 
 fn read() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
-    // The clock counts up from the machine's start, so neither part is ever negative.
+    // The clock counts up from the boot of the machine, so neither part is negative.
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
     let nanos = u32::try_from(time.tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanos)
--- a/crates/edge/src/control.rs
+++ b/crates/edge/src/control.rs
@@ -1,4 +1,4 @@
-//! The calls of endpoints and operators that a store answers.
+//! The HTTP handler of a store for calls of endpoints and operators.
 
 use std::{
     marker::PhantomData,
@@ -38,7 +38,7 @@
 };
 
 use crate::{
-    border::{
+    adapter::{
         Border,
         Call,
         Reply, //
@@ -49,36 +49,36 @@
 /// Largest body of a call, in bytes: a document of several thousand routes.
 const BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Time within which a call is answered: callers turn to another store after a second.
-const ANSWER: Duration = Duration::from_millis(800);
+/// Time limit of a call: clients switch to another store after a second.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Why a call was not carried out.
-type Refused = (Code, Box<str>);
+/// Why a call was refused.
+type Refusal = (Code, Box<str>);
 
-/// The face that endpoints and operators call.
+/// Answers calls of endpoints and operators.
 #[derive(Debug)]
-pub struct Control<B> {
-    border: PhantomData<B>,
+pub struct ControlHandler<B> {
+    adapter: PhantomData<B>,
     state: Rc<StoreState>,
 }
 
-impl<B> Control<B> {
-    /// Creates the face of a store.
+impl<B> ControlHandler<B> {
+    /// Creates the handler of a store.
     pub const fn new(state: Rc<StoreState>) -> Self {
         Self {
-            border: PhantomData,
+            adapter: PhantomData,
             state,
         }
     }
 }
 
-impl<B> Clone for Control<B> {
+impl<B> Clone for ControlHandler<B> {
     fn clone(&self) -> Self {
         Self::new(self.state.clone())
     }
 }
 
-impl<B: Border> Handler for Control<B> {
+impl<B: Border> Handler for ControlHandler<B> {
     type Body = Full<Bytes>;
 
     fn handle(
@@ -92,9 +92,9 @@
             let result = answer::<B>(&state, &parts, body).await;
             state
                 .metrics
-                .called(state.clock.now().saturating_sub(start));
+                .observe_call(state.clock.now().saturating_sub(start));
             if let Err((code, advice)) = &result {
-                state.metrics.refuse(*code);
+                state.metrics.count_refusal(*code);
                 log::info!(code = code.number(), path = parts.uri.path(); "{advice}");
             }
             B::answer(&parts, result)
@@ -106,7 +106,7 @@
     state: &StoreState,
     parts: &Parts,
     body: Incoming,
-) -> Result<Reply, Refused> {
+) -> Result<Reply, Refusal> {
     let body = Limited::new(body, BODY_BYTES).collect().await;
     let body = body.map_err(|error| (Code::CallUnknown, error.to_string().into()))?;
     let body = body.to_bytes();
@@ -118,33 +118,37 @@
     }
 }
 
-async fn announce<B: Border>(state: &StoreState, own: Announcement) -> Result<Reply, Refused> {
-    if B::tag(&own.name).is_none() {
-        let advice = format!("`{}` is no endpoint's name", own.name);
+async fn announce<B: Border>(
+    state: &StoreState,
+    announcement: Announcement,
+) -> Result<Reply, Refusal> {
+    if B::tag(&announcement.name).is_none() {
+        let advice = format!("`{}` is no endpoint's name", announcement.name);
         return Err((Code::AnnouncementMalformed, advice.into()));
     }
     let now = state.clock.now();
-    let (name, said) = (own.name.clone(), own.state);
+    let (name, announced_state) = (announcement.name.clone(), announcement.state);
     let before = state.registry.borrow().count();
-    state.registry.borrow_mut().announce(now, own);
+    state.registry.borrow_mut().announce(now, announcement);
     let changed = state.registry.borrow().changed(now, before);
     if let Some(record) = changed
         .iter()
         .find(|record| record.announcement.name == name)
     {
-        let own = &record.announcement;
+        let announcement = &record.announcement;
         log::info!(
-            endpoint = &*name, service = &*own.service, address = own.address.to_string(),
-            incarnation = own.incarnation, sequence = own.sequence, state = format!("{said:?}"),
+            endpoint = &*name, service = &*announcement.service,
+            address = announcement.address.to_string(), incarnation = announcement.incarnation,
+            sequence = announcement.sequence, state = format!("{announced_state:?}"),
             departed = record.departed;
             "an endpoint has changed"
         );
     }
     if !changed.is_empty() {
-        state.announce();
+        state.notify();
     }
-    match said {
-        State::Draining => copied(state).await,
+    match announced_state {
+        State::Draining => wait_for_copies(state).await,
         State::Ready => Ok(Reply::Done),
     }
 }
@@ -153,7 +157,7 @@
     state: &StoreState,
     name: &str,
     incarnation: Option<u64>,
-) -> Result<Reply, Refused> {
+) -> Result<Reply, Refusal> {
     let now = state.clock.now();
     let known = state.registry.borrow().get(name).is_some();
     if !known {
@@ -164,23 +168,23 @@
     }
     let change = state.registry.borrow_mut().depart(now, name, incarnation);
     log::info!(endpoint = name, incarnation, change; "an endpoint has left");
-    state.announce();
-    copied(state).await
+    state.notify();
+    wait_for_copies(state).await
 }
 
-/// Waits until enough other stores have what this one has: the loss of as many as may be lost, this
-/// one among them, or of this data centre loses nothing.
-async fn copied(state: &StoreState) -> Result<Reply, Refused> {
+/// Waits until enough other stores have acknowledged all changes: they then survive the tolerated loss
+/// of stores, including this one, and the loss of this data centre.
+async fn wait_for_copies(state: &StoreState) -> Result<Reply, Refusal> {
     let change = state.registry.borrow().count();
-    let until = state.clock.now() + ANSWER;
+    let deadline = state.clock.now() + CALL_TIMEOUT;
     loop {
-        let listener = state.copied.listen();
+        let listener = state.copies_acked.listen();
         let (losses, centre) = (state.settings.losses, &state.settings.centre);
-        if state.peers.borrow().copied(change, losses, centre) {
+        if state.peers.borrow().replicated(change, losses, centre) {
             return Ok(Reply::Done);
         }
-        let left = until.saturating_sub(state.clock.now());
-        if left.is_zero() || compio::time::timeout(left, listener).await.is_err() {
+        let remaining = deadline.saturating_sub(state.clock.now());
+        if remaining.is_zero() || compio::time::timeout(remaining, listener).await.is_err() {
             let advice = "no other store took a copy in time";
             return Err((Code::AnnouncementUnsafe, advice.into()));
         }
@@ -191,18 +195,18 @@
     state: &StoreState,
     parts: &Parts,
     body: Bytes,
-) -> Result<Reply, Refused> {
+) -> Result<Reply, Refusal> {
     let version = B::document(&body)?.version;
-    let caller = parts.extensions.get::<Peer>();
-    let author = caller.map_or(String::new(), |peer| peer.0.ip().to_string());
+    let client = parts.extensions.get::<Peer>();
+    let author = client.map_or(String::new(), |peer| peer.0.ip().to_string());
     let publication = Publication::new(version, &body).with_author(&author, epoch_millis());
     let known = state.replica.borrow().ledger().compare(&publication);
     let published = match known {
         Some(known) => known,
-        None => match ask(state, |token| Event::Publish(publication, token)).await? {
-            Asked::Elsewhere(reply) => return Ok(reply),
-            Asked::Here(Answer::Published(published)) => published,
-            Asked::Here(_) => return Err(lost()),
+        None => match submit_to_group(state, |token| Event::Publish(publication, token)).await? {
+            Submission::Redirect(reply) => return Ok(reply),
+            Submission::Answered(Answer::Published(published)) => published,
+            Submission::Answered(_) => return Err(timed_out()),
         },
     };
     log::info!(version, author, outcome = format!("{published:?}"); "a document was published");
@@ -215,42 +219,45 @@
     }
 }
 
-async fn read(state: &StoreState) -> Result<Reply, Refused> {
-    match ask(state, Event::Read).await? {
-        Asked::Elsewhere(reply) => Ok(reply),
-        Asked::Here(Answer::Current) => {
+async fn read(state: &StoreState) -> Result<Reply, Refusal> {
+    match submit_to_group(state, Event::Read).await? {
+        Submission::Redirect(reply) => Ok(reply),
+        Submission::Answered(Answer::Current) => {
             let replica = state.replica.borrow();
             match replica.ledger().published() {
                 Some(held) => Ok(Reply::Document(Bytes::copy_from_slice(&held.bytes))),
                 None => Err((Code::NoLeader, "nothing was published yet".into())),
             }
         }
-        Asked::Here(_) => Err(lost()),
+        Submission::Answered(_) => Err(timed_out()),
     }
 }
 
-/// Who decides a request.
-enum Asked {
-    Elsewhere(Reply),
-    Here(Answer),
+/// Result of a request to the group.
+enum Submission {
+    Redirect(Reply),
+    Answered(Answer),
 }
 
-/// Asks the group, if this store leads it.
-async fn ask(state: &StoreState, event: impl FnOnce(Token) -> Event) -> Result<Asked, Refused> {
+/// Submits a request to the group, or redirects to the leader if this store does not lead.
+async fn submit_to_group(
+    state: &StoreState,
+    event: impl FnOnce(Token) -> Event,
+) -> Result<Submission, Refusal> {
     if !state.replica.borrow().raft().leads() {
         let advice = "no leader is known";
         let leader = state.leader().ok_or((Code::NoLeader, advice.into()))?;
-        return Ok(Asked::Elsewhere(Reply::Elsewhere(leader)));
+        return Ok(Submission::Redirect(Reply::Elsewhere(leader)));
     }
     let receiver = state.replica.borrow_mut().submit(event);
-    match compio::time::timeout(ANSWER, receiver).await {
+    match compio::time::timeout(CALL_TIMEOUT, receiver).await {
         Ok(Ok(Answer::Refused(code, advice))) => Err((code, advice)),
-        Ok(Ok(answer)) => Ok(Asked::Here(answer)),
-        Ok(Err(_)) | Err(_) => Err(lost()),
+        Ok(Ok(answer)) => Ok(Submission::Answered(answer)),
+        Ok(Err(_)) | Err(_) => Err(timed_out()),
     }
 }
 
-fn lost() -> Refused {
+fn timed_out() -> Refusal {
     (
         Code::PublicationUnknown,
         "the group did not answer in time".into(),
--- a/crates/edge/src/decisions.rs
+++ b/crates/edge/src/decisions.rs
@@ -1,4 +1,4 @@
-//! What an entry decided about flows: counted, and logged up to a bound.
+//! Metrics and rate-limited logs of an entry's decisions about flows.
 
 use std::{
     cell::{
@@ -17,17 +17,17 @@
 };
 
 use crate::{
-    border::{
+    adapter::{
         Kind,
         Packet, //
     },
     metrics::Metrics,
 };
 
-/// Lines a second for each kind of decision; what is left out is counted.
-const LINES: u32 = 20;
+/// Limit of log lines per second for each kind of decision; omitted lines are counted.
+const MAX_LINES: u32 = 20;
 
-/// What a line is about.
+/// Kind of a log line.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Subject {
     Orphaned,
@@ -36,41 +36,41 @@
     Unsent,
 }
 
-/// Lines about one subject in the present second.
+/// Lines of one kind in the current second.
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
     omitted: u32,
     written: u32,
 }
 
-/// What an entry decided about flows.
+/// Metrics and rate-limited logs of an entry's decisions about flows.
 #[derive(Debug)]
 pub struct Decisions {
     counts: RefCell<BTreeMap<Subject, Count>>,
     pub metrics: Metrics,
-    since: Cell<Duration>,
+    window_start: Cell<Duration>,
 }
 
 impl Decisions {
-    /// Starts with nothing counted.
+    /// Creates empty counts.
     pub const fn new(metrics: Metrics) -> Self {
         Self {
             counts: RefCell::new(BTreeMap::new()),
             metrics,
-            since: Cell::new(Duration::ZERO),
+            window_start: Cell::new(Duration::ZERO),
         }
     }
 
-    /// Counts a datagram that names no flow.
-    pub fn unreadable(&self, code: Code) {
-        self.metrics.refuse(code);
-        if self.line(Subject::Refused(code)) {
+    /// Records a datagram that cannot be decoded.
+    pub fn record_malformed(&self, code: Code) {
+        self.metrics.count_refusal(code);
+        if self.may_log(Subject::Refused(code)) {
             log::info!(code = code.number(); "{}", code.meaning());
         }
     }
 
-    /// Notes which endpoint got a flow, and what was known of it.
-    pub fn placed(&self, packet: &Packet, endpoint: &Endpoint, version: u64) {
+    /// Records the endpoint selected for a new flow, and the state that the selection used.
+    pub fn record_placement(&self, packet: &Packet, endpoint: &Endpoint, version: u64) {
         let Kind::Open(copy) = packet.kind else {
             return;
         };
@@ -78,7 +78,7 @@
         if copy > 0 {
             self.metrics.copies.inc();
         }
-        if !self.line(Subject::Placed) {
+        if !self.may_log(Subject::Placed) {
             return;
         }
         let (caller, route) = (
@@ -95,10 +95,10 @@
         );
     }
 
-    /// Notes that an idle flow was given up because its endpoint has left or is out of reach.
-    pub fn orphaned(&self, packet: &Packet) {
+    /// Records a reset of an idle flow whose endpoint has left or is unreachable.
+    pub fn record_orphan(&self, packet: &Packet) {
         self.metrics.orphans.inc();
-        if self.line(Subject::Orphaned) {
+        if self.may_log(Subject::Orphaned) {
             let (caller, route) = (
                 packet.flow.caller.to_string(),
                 packet.flow.route.to_string(),
@@ -107,10 +107,10 @@
         }
     }
 
-    /// Notes why a flow's packet was not forwarded.
-    pub fn refused(&self, packet: &Packet, code: Code, version: u64) {
-        self.metrics.refuse(code);
-        if !self.line(Subject::Refused(code)) {
+    /// Records why a packet was not forwarded.
+    pub fn record_refusal(&self, packet: &Packet, code: Code, version: u64) {
+        self.metrics.count_refusal(code);
+        if !self.may_log(Subject::Refused(code)) {
             return;
         }
         let (caller, route) = (
@@ -121,20 +121,20 @@
         log::info!(code = code.number(), caller, route, reference, version; "{}", code.meaning());
     }
 
-    /// Notes a datagram that the system did not take or hand over.
-    pub fn lost(&self, error: &io::Error) {
+    /// Records a datagram that could not be received or sent.
+    pub fn record_io_error(&self, error: &io::Error) {
         self.metrics.unsent.inc();
-        if self.line(Subject::Unsent) {
-            log::warn!("a datagram could not be received or sent: {error}");
+        if self.may_log(Subject::Unsent) {
+            log::warn!("cannot receive or send a datagram: {error}");
         }
     }
 
-    /// Logs what was left out; to be called a few times a second.
-    pub fn report(&self, now: Duration) {
-        if now.saturating_sub(self.since.get()) < Duration::from_secs(1) {
+    /// Logs the counts of omitted lines once a second; must be called a few times a second.
+    pub fn flush_omitted(&self, now: Duration) {
+        if now.saturating_sub(self.window_start.get()) < Duration::from_secs(1) {
             return;
         }
-        self.since.set(now);
+        self.window_start.set(now);
         for (subject, count) in std::mem::take(&mut *self.counts.borrow_mut()) {
             if count.omitted > 0 {
                 let subject = format!("{subject:?}");
@@ -143,13 +143,13 @@
         }
     }
 
-    /// Whether one more line about a subject may be written.
-    fn line(&self, subject: Subject) -> bool {
+    /// Whether another line of this kind may be logged in the current second.
+    fn may_log(&self, subject: Subject) -> bool {
         let mut counts = self.counts.borrow_mut();
         let count = counts.entry(subject).or_default();
-        let free = count.written < LINES;
-        count.written += u32::from(free);
-        count.omitted += u32::from(!free);
-        free
+        let allowed = count.written < MAX_LINES;
+        count.written += u32::from(allowed);
+        count.omitted += u32::from(!allowed);
+        allowed
     }
 }
--- a/crates/edge/src/document.rs
+++ b/crates/edge/src/document.rs
@@ -1,4 +1,4 @@
-//! The operators' document as entries need it.
+//! The operators' configuration document, reduced to what entries need.
 
 use std::net::SocketAddrV4;
 
@@ -7,29 +7,29 @@
     Serialize, //
 };
 
-/// One service's share of a route's new flows.
+/// A service's share of a route's new flows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Share {
     /// Index of the service in the document's list.
     pub service: u16,
-    /// Its share, beside the route's other ones.
+    /// Weight, relative to the route's other shares.
     pub weight: u32,
 }
 
-/// Where new flows to an address go.
+/// A route: the services that get the new flows to an address.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Route {
-    /// The address that callers ask for.
+    /// The address that clients connect to.
     pub address: SocketAddrV4,
-    /// Whether its requests may be sent anew after any failure.
+    /// Whether its requests may be retried after any failure.
     pub repeatable: bool,
-    /// The services.
+    /// The services, with their weights.
     pub shares: Box<[Share]>,
 }
 
-/// The operators' document as entries need it.
+/// The operators' configuration document, reduced to what entries need.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Document {
@@ -37,6 +37,6 @@
     pub routes: Box<[Route]>,
     /// Names of the services.
     pub services: Box<[Box<str>]>,
-    /// The operators' version.
+    /// Version, assigned by the operators.
     pub version: u64,
 }
--- a/crates/edge/src/document_file.rs
+++ b/crates/edge/src/document_file.rs
@@ -1,5 +1,5 @@
-//! The document in force on a store's disk. After a restart the log tells only with a quorum which
-//! of its last entries are committed; entries can be told of this document sooner.
+//! The document in force, cached on a store's disk. After a restart, a store learns which of the last
+//! entries of its log are committed only from a quorum; it can send this document to entries sooner.
 
 use std::{
     path::Path,
@@ -8,37 +8,37 @@
 };
 
 use crate::{
+    cache_file::CacheFile,
     document::Document,
-    kept_file::KeptFile,
     state::StoreState, //
 };
 
 /// Name of the file in the data folder.
 const FILE: &str = "document";
 
-/// Time between two looks at whether there is something new to keep: documents may come in quick
-/// succession, and each write is two syncs.
-const LOOK: Duration = Duration::from_millis(500);
+/// Interval of checks for a document to write: documents may arrive in quick succession, and each write
+/// takes two syncs.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What was in force a moment before the process ended; none if the disk holds none.
+/// Reads the document that was in force shortly before the process ended; none if there is no file.
 pub fn load(data: &Path) -> Option<Rc<Document>> {
-    KeptFile::new(data.into(), FILE).load().map(Rc::new)
+    CacheFile::new(data.into(), FILE).load().map(Rc::new)
 }
 
-/// Keeps the document in force on disk until the process ends.
+/// Writes each document that comes into force to disk until the process ends.
 pub async fn persist(state: Rc<StoreState>) {
     let Some(data) = state.settings.data.clone() else {
         return;
     };
-    let mut file = KeptFile::new(data, FILE);
-    let mut kept = state.version();
+    let mut file = CacheFile::new(data, FILE);
+    let mut saved = state.version();
     loop {
-        compio::time::sleep(LOOK).await;
+        compio::time::sleep(CHECK_INTERVAL).await;
         let document = state.document.borrow().clone();
         match document {
-            Some(document) if document.version > kept => {
+            Some(document) if document.version > saved => {
                 if file.replace((*document).clone()).await {
-                    kept = document.version;
+                    saved = document.version;
                 }
             }
             Some(_) | None => {}
--- a/crates/edge/src/endpoint_file.rs
+++ b/crates/edge/src/endpoint_file.rs
@@ -1,5 +1,5 @@
-//! The announcements on a store's disk: after all stores lost power at once, each knows the
-//! endpoints before these announce themselves again.
+//! The announcement records, cached on a store's disk: after a power loss of all stores, the endpoints are
+//! available before they announce themselves again.
 
 use std::{
     path::Path,
@@ -13,46 +13,46 @@
 };
 
 use crate::{
-    kept_file::KeptFile,
+    cache_file::CacheFile,
     state::StoreState, //
 };
 
 /// Name of the file in the data folder.
 const FILE: &str = "endpoints";
 
-/// Time between two looks at whether there is something new to keep.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval of checks for changed records to write.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Takes in what the disk holds. A file that cannot be read is no loss: endpoints announce
-/// themselves again.
+/// Merges the records on disk into the registry. An unreadable file is ignored, since endpoints
+/// announce themselves again.
 pub fn load(data: &Path, now: Duration, registry: &mut Registry) {
-    let records: Option<Vec<Record>> = KeptFile::new(data.into(), FILE).load();
+    let records: Option<Vec<Record>> = CacheFile::new(data.into(), FILE).load();
     for mut record in records.into_iter().flatten() {
         if !record.departed {
-            // Nobody can tell whether it ended meanwhile; it has as long to be heard again.
+            // The endpoint may still run, so it gets the full time for its next heartbeat.
             record.age = 0;
         }
         registry.merge(now, record);
     }
 }
 
-/// Keeps the announcements on disk until the process ends.
+/// Writes changed records to disk until the process ends.
 pub async fn persist(state: Rc<StoreState>) {
     let Some(data) = state.settings.data.clone() else {
         return;
     };
-    let mut file = KeptFile::new(data, FILE);
-    let mut kept = 0;
+    let mut file = CacheFile::new(data, FILE);
+    let mut saved = 0;
     loop {
-        compio::time::sleep(LOOK).await;
+        compio::time::sleep(CHECK_INTERVAL).await;
         let now = state.clock.now();
         let count = state.registry.borrow().count();
-        if state.registry.borrow().changed(now, kept).is_empty() {
+        if state.registry.borrow().changed(now, saved).is_empty() {
             continue;
         }
         let records = state.registry.borrow().changed(now, 0);
         if file.replace(records).await {
-            kept = count;
+            saved = count;
         }
     }
 }
--- a/crates/edge/src/entry.rs
+++ b/crates/edge/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an entry share.
+//! State shared by the tasks of an entry.
 
 use std::{
     cell::{
@@ -17,48 +17,48 @@
 use crate::{
     clock::Clock,
     decisions::Decisions,
+    locality::Locality,
     metrics::Metrics,
-    place::Place,
     settings::Settings,
     view::View, //
 };
 
-/// Time beyond an announcement's interval after which an entry that has started knows each endpoint
-/// that any store could know.
-const LEARN: Duration = Duration::from_secs(1);
+/// Time beyond the heartbeat interval after which an entry that has started has received each endpoint
+/// that is known to any store.
+const LEARNING_MARGIN: Duration = Duration::from_secs(1);
 
-/// What the tasks of an entry share. No borrow is held across an await.
+/// State shared by the tasks of an entry. No borrow is held across an await.
 #[derive(Debug)]
 pub struct Entry {
     pub clock: Clock,
     pub decisions: Decisions,
-    /// Inner addresses of the stores that the settings name.
+    /// Internal addresses of the seed stores.
     pub seeds: RefCell<Vec<SocketAddrV4>>,
     pub settings: Settings,
     pub stop: Rc<Stop>,
     pub view: RefCell<View>,
-    /// When the last packet came.
-    pub packet: Cell<Duration>,
+    /// When the last packet arrived.
+    pub packet_at: Cell<Duration>,
     pub random: RefCell<ChaCha8Rng>,
 }
 
 impl Entry {
-    /// Creates the state of an entry that knows nobody yet.
+    /// Creates the state of an entry without known stores and endpoints.
     pub fn new(settings: Settings) -> Self {
-        let place = Place::new(&settings.centre).with_regions(settings.regions.clone());
+        let locality = Locality::new(&settings.centre).with_regions(settings.regions.clone());
         Self {
             clock: Clock::new(),
             decisions: Decisions::new(Metrics::new()),
-            packet: Cell::default(),
+            packet_at: Cell::default(),
             random: RefCell::new(ChaCha8Rng::seed_from_u64(rand::random())),
-            seeds: RefCell::new(settings.seeded()),
+            seeds: RefCell::new(settings.seed_addresses()),
             stop: Rc::default(),
-            view: RefCell::new(View::new(place, settings.heartbeat() + LEARN)),
+            view: RefCell::new(View::new(locality, settings.heartbeat() + LEARNING_MARGIN)),
             settings,
         }
     }
 
-    /// Whether routers may send packets.
+    /// Whether the entry is ready for packets of routers.
     pub fn ready(&self) -> bool {
         !self.stop.begun() && self.view.borrow().ready()
     }
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -1,4 +1,4 @@
-//! The stores that an entry follows.
+//! An entry's subscriptions to stores.
 
 use std::{
     cell::RefCell,
@@ -23,8 +23,8 @@
 use rand::seq::IteratorRandom as _;
 
 use crate::{
+    adapter::Border,
     backoff::Backoff,
-    border::Border,
     entry::Entry,
     frames::{
         Receiver,
@@ -39,50 +39,52 @@
     },
     staleness::Staleness,
     view::{
-        REPORTED,
-        SOURCES, //
+        FOLLOWED_STORES, //
+        LOAD_SLOT,
     },
 };
 
-/// Pause while no store is known.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Pause before the next attempt if no store is available.
+const NO_STORE_PAUSE: Duration = Duration::from_millis(150);
 
-/// Time between two reports of loads.
-const REPORT: Duration = Duration::from_millis(250);
+/// Interval of load reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The stores that an entry knows, and the one that each of its followers has.
+/// The known stores, and the one that each slot follows.
 #[derive(Debug)]
 struct Stores {
-    followed: [Option<SocketAddrV4>; SOURCES],
+    followed: [Option<SocketAddrV4>; FOLLOWED_STORES],
     known: BTreeSet<SocketAddrV4>,
 }
 
 impl Stores {
-    /// Draws up to `count` stores that are not followed yet, not the last one if there are others.
-    fn draw(
+    /// Samples up to `count` stores that are not followed yet, without the last one if there are others.
+    fn sample(
         &self,
         seeds: &[SocketAddrV4],
         last: Option<SocketAddrV4>,
         count: usize,
     ) -> Vec<SocketAddrV4> {
-        let all = self.known.iter().chain(seeds).copied();
-        let mut free: BTreeSet<_> = all
+        let known = self.known.iter().chain(seeds).copied();
+        let mut available: BTreeSet<_> = known
             .filter(|store| !self.followed.contains(&Some(*store)))
             .collect();
-        if free.len() > 1 {
-            free.retain(|store| Some(*store) != last);
+        if available.len() > 1 {
+            available.retain(|store| Some(*store) != last);
         }
-        free.into_iter().choose_multiple(&mut rand::rng(), count)
+        available
+            .into_iter()
+            .choose_multiple(&mut rand::rng(), count)
     }
 }
 
-/// Starts to follow stores.
+/// Starts a task for each followed store.
 pub fn start<B: Border>(entry: &Rc<Entry>) {
     let stores = Rc::new(RefCell::new(Stores {
-        followed: [None; SOURCES],
+        followed: [None; FOLLOWED_STORES],
         known: BTreeSet::new(),
     }));
-    for slot in 0..SOURCES {
+    for slot in 0..FOLLOWED_STORES {
         spawn(follow::<B>(entry.clone(), stores.clone(), slot)).detach();
     }
 }
@@ -93,17 +95,17 @@
     let mut staleness = Staleness::default();
     loop {
         let seeds = entry.seeds.borrow().clone();
-        let drawn = stores.borrow().draw(&seeds, last, backoff.width());
-        if drawn.is_empty() {
-            compio::time::sleep(PAUSE).await;
+        let candidates = stores.borrow().sample(&seeds, last, backoff.width());
+        if candidates.is_empty() {
+            compio::time::sleep(NO_STORE_PAUSE).await;
             continue;
         }
-        if let [address] = *drawn {
+        if let [address] = *candidates {
             last = Some(address);
-            set(&stores, slot, last);
+            set_followed(&stores, slot, last);
         }
-        match reach(&drawn, backoff.connect_timeout()).await {
-            Ok((address, stream)) if claim(&stores, slot, address) => {
+        match connect_any(&candidates, backoff.connect_timeout()).await {
+            Ok((address, stream)) if reserve(&stores, slot, address) => {
                 last = Some(address);
                 backoff.succeed();
                 let Err(error) =
@@ -111,47 +113,47 @@
                 log::info!(store = address.to_string(), reason = error.to_string(); "a store is followed no longer");
             }
             Ok((address, _)) => {
-                log::debug!(store = address.to_string(); "the store is followed already");
+                log::debug!(store = address.to_string(); "the store is already followed");
             }
             Err(error) => {
-                log::info!(stores = drawn.len(), reason = error.to_string(); "no store is reached");
+                log::info!(stores = candidates.len(), reason = error.to_string(); "no store is reached");
             }
         }
-        set(&stores, slot, None);
+        set_followed(&stores, slot, None);
         let now = entry.clock.now();
-        entry.view.borrow_mut().lose(now, slot, B::tag);
+        entry.view.borrow_mut().disconnect(now, slot, B::tag);
         compio::time::sleep(backoff.fail()).await;
     }
 }
 
-/// Connects to the first of several stores that answers.
-async fn reach(
+/// Connects to several stores at once and returns the first connection that is established.
+async fn connect_any(
     stores: &[SocketAddrV4],
-    patience: Duration,
+    timeout: Duration,
 ) -> io::Result<(SocketAddrV4, TcpStream)> {
-    let tries = stores.iter().map(|&address| {
+    let attempts = stores.iter().map(|&address| {
         Box::pin(async move {
-            let stream = connect(address, patience).await?;
+            let stream = connect(address, timeout).await?;
             Ok((address, stream))
         })
     });
-    select_ok(tries).await.map(|(reached, _)| reached)
+    select_ok(attempts).await.map(|(first, _)| first)
 }
 
-/// Notes which store a follower has; false if another follower has it already.
-fn claim(stores: &RefCell<Stores>, slot: usize, address: SocketAddrV4) -> bool {
-    let taken = {
+/// Reserves a store for a slot; returns false if another slot follows it.
+fn reserve(stores: &RefCell<Stores>, slot: usize, address: SocketAddrV4) -> bool {
+    let reserved = {
         let stores = stores.borrow();
         let mut others = stores.followed.iter().enumerate();
         others.any(|(other, followed)| other != slot && *followed == Some(address))
     };
-    if !taken {
-        set(stores, slot, Some(address));
+    if !reserved {
+        set_followed(stores, slot, Some(address));
     }
-    !taken
+    !reserved
 }
 
-fn set(stores: &RefCell<Stores>, slot: usize, address: Option<SocketAddrV4>) {
+fn set_followed(stores: &RefCell<Stores>, slot: usize, address: Option<SocketAddrV4>) {
     if let Some(followed) = stores.borrow_mut().followed.get_mut(slot) {
         *followed = address;
     }
@@ -172,14 +174,16 @@
     };
     sender.send(&hello).await?;
     log::info!(store = address.to_string(); "a store is followed");
-    let taking = pin!(take::<B>(entry, stores, slot, receiver, staleness));
-    let reporting = pin!(report(entry, slot, sender.retype()));
-    match select(taking, reporting).await {
+    let receiving = pin!(receive_pushes::<B>(
+        entry, stores, slot, receiver, staleness
+    ));
+    let sending = pin!(send_reports(entry, slot, sender.retype()));
+    match select(receiving, sending).await {
         Either::Left((result, _)) | Either::Right((result, _)) => result,
     }
 }
 
-async fn take<B: Border>(
+async fn receive_pushes<B: Border>(
     entry: &Entry,
     stores: &RefCell<Stores>,
     slot: usize,
@@ -188,34 +192,34 @@
 ) -> io::Result<Infallible> {
     loop {
         let push = receiver.next().await?;
-        if !push.more && staleness.note(entry.clock.now(), push.current) {
-            return Err(io::Error::other("it is cut off from the other stores"));
+        if !push.more && staleness.record(entry.clock.now(), push.current) {
+            return Err(io::Error::other("the store has no quorum"));
         }
         if !push.stores.is_empty() {
             let mut stores = stores.borrow_mut();
             stores.known = push.stores.iter().copied().collect();
         }
         let mut view = entry.view.borrow_mut();
-        if view.take(entry.clock.now(), slot, push, B::tag) {
+        if view.apply(entry.clock.now(), slot, push, B::tag) {
             let (version, confirmed) = (view.version(), view.confirmed());
             log::info!(version, confirmed; "a later document is in force");
         }
     }
 }
 
-/// Reports loads to the first store that is followed, and shows the others that the entry runs.
-async fn report(
+/// Sends load reports to the store in slot [`LOAD_SLOT`], and empty ones as keepalives to the others.
+async fn send_reports(
     entry: &Entry,
     slot: usize,
     mut sender: Sender<LoadReport>,
 ) -> io::Result<Infallible> {
-    let reports = slot == REPORTED;
+    let reports = slot == LOAD_SLOT;
     loop {
         let loads = match reports {
             true => entry.view.borrow().loads(),
             false => Vec::new(),
         };
         sender.send(&LoadReport { loads, reports }).await?;
-        compio::time::sleep(REPORT).await;
+        compio::time::sleep(REPORT_INTERVAL).await;
     }
 }
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -1,4 +1,4 @@
-//! The way of a packet: from a router in, to an endpoint or as a reset to its caller out.
+//! Packet forwarding: from routers to endpoints, or back to the client as a reset.
 
 use std::{
     io,
@@ -15,31 +15,31 @@
 use compio::runtime::fd::PollFd;
 
 use crate::{
-    border::{
+    adapter::{
         Border,
         Packet, //
     },
     entry::Entry, //
 };
 
-/// Largest datagram of a router, in bytes: one that fits into a frame of the network.
+/// Largest datagram of a router, in bytes: enough for any that fits into one frame of the network.
 const DATAGRAM_BYTES: usize = 2048;
 
-/// Datagrams that are taken in one turn: the other tasks wait for less than a millisecond.
+/// Datagrams received in one batch: the other tasks wait for less than a millisecond.
 const BATCH: usize = 64;
 
-/// Pause after a failure to wait for the socket, so that the other tasks run.
+/// Pause after a failed wait for the socket, so that the other tasks run.
 const READY_PAUSE: Duration = Duration::from_millis(10);
 
 /// Forwards packets until the process ends.
 ///
-/// One wait for the socket serves all datagrams that have come by then, each with two system calls.
+/// One wait for the socket covers all datagrams that have arrived by then; each takes two system calls.
 pub async fn forward<B: Border>(entry: Rc<Entry>, socket: Rc<PollFd<UdpSocket>>, port: u16) {
     let mut buffer = [0; DATAGRAM_BYTES];
     let mut out = Vec::with_capacity(DATAGRAM_BYTES);
     loop {
         if let Err(error) = socket.read_ready().await {
-            entry.decisions.lost(&error);
+            entry.decisions.record_io_error(&error);
             compio::time::sleep(READY_PAUSE).await;
             continue;
         }
@@ -47,36 +47,36 @@
             match socket.recv(&mut buffer) {
                 Ok(length) => {
                     let datagram = buffer.get(..length).unwrap_or_default();
-                    take::<B>(&entry, &socket, datagram, port, &mut out).await;
+                    handle::<B>(&entry, &socket, datagram, port, &mut out).await;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                // What an earlier datagram met on its way; the next one may get through.
-                Err(error) => entry.decisions.lost(&error),
+                // A delivery error of an earlier datagram; the next one may succeed.
+                Err(error) => entry.decisions.record_io_error(&error),
             }
         }
     }
 }
 
-async fn take<B: Border>(
+async fn handle<B: Border>(
     entry: &Entry,
     socket: &PollFd<UdpSocket>,
     datagram: &[u8],
     port: u16,
     out: &mut Vec<u8>,
 ) {
-    entry.packet.set(entry.clock.now());
+    entry.packet_at.set(entry.clock.now());
     entry.decisions.metrics.packets.inc();
     out.clear();
-    let sent = match step::<B>(entry, datagram, port, out) {
+    let sent = match route::<B>(entry, datagram, port, out) {
         Some(to) => send(socket, out, to).await,
         None => Ok(()),
     };
     if let Err(error) = sent {
-        entry.decisions.lost(&error);
+        entry.decisions.record_io_error(&error);
     }
 }
 
-/// Sends a datagram, once there is room for it.
+/// Sends a datagram, waiting for space in the send buffer if necessary.
 async fn send(socket: &PollFd<UdpSocket>, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
     match socket.send_to(bytes, to) {
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
@@ -87,8 +87,8 @@
     }
 }
 
-/// Decides on a datagram, and writes the one that is to be sent.
-fn step<B: Border>(
+/// Routes a datagram; writes the outgoing one to `out` and returns its destination.
+fn route<B: Border>(
     entry: &Entry,
     datagram: &[u8],
     port: u16,
@@ -97,7 +97,7 @@
     let packet = match B::packet(datagram) {
         Ok(packet) => packet,
         Err(code) => {
-            entry.decisions.unreadable(code);
+            entry.decisions.record_malformed(code);
             return None;
         }
     };
@@ -106,17 +106,21 @@
     let code = match view.route(entry.clock.now(), &packet, &mut *random) {
         Ok(key) => {
             let endpoint = view.pool().get(key)?;
-            entry.decisions.placed(&packet, endpoint, view.version());
+            entry
+                .decisions
+                .record_placement(&packet, endpoint, view.version());
             B::forward(datagram, endpoint, out);
             return Some(endpoint.address.into());
         }
         Err(code) => code,
     };
-    entry.decisions.refused(&packet, code, view.version());
+    entry
+        .decisions
+        .record_refusal(&packet, code, view.version());
     reset::<B>(&packet, code, port, out)
 }
 
-/// Resets a flow that no endpoint has or can take, so that its caller needn't wait.
+/// Resets a flow without a usable endpoint, so that its client does not wait for a timeout.
 fn reset<B: Border>(
     packet: &Packet,
     code: Code,
--- a/crates/edge/src/frames.rs
+++ b/crates/edge/src/frames.rs
@@ -34,12 +34,12 @@
     },
 };
 
-/// Time after which a connection is given up from which nothing came, or which takes nothing: a
-/// few of the frames that show that the other end still runs.
-const SILENCE: Duration = Duration::from_millis(1_700);
+/// Time without a received frame, or without progress in sending, after which a connection is closed: a
+/// few keepalive intervals.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_700);
 
 /// Largest frame, in bytes: a document of several thousand routes.
-const FRAME_BYTES: usize = 8 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 type Stream = Framed<Compat<AsyncStream<TcpStream>>, LengthDelimitedCodec>;
 
@@ -61,21 +61,21 @@
 ///
 /// # Errors
 ///
-/// What the system reported; a time-out if the instance does not answer in time.
-pub async fn connect(address: SocketAddrV4, patience: Duration) -> io::Result<TcpStream> {
-    compio::time::timeout(patience, TcpStream::connect(address))
+/// The error of the system, or a timeout.
+pub async fn connect(address: SocketAddrV4, timeout: Duration) -> io::Result<TcpStream> {
+    compio::time::timeout(timeout, TcpStream::connect(address))
         .await
-        .map_err(|_| late())?
+        .map_err(|_| timed_out())?
 }
 
-/// Makes a connection two streams of typed frames.
+/// Splits a connection into two streams of typed frames.
 pub fn frames<S, R>(stream: TcpStream) -> (Sender<S>, Receiver<R>) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("a connection may delay small frames: {error}");
+        log::debug!("cannot set TCP_NODELAY: {error}");
     }
     let io = AsyncStream::new(stream).compat();
     let mut codec = LengthDelimitedCodec::new();
-    codec.set_max_frame_length(FRAME_BYTES);
+    codec.set_max_frame_length(MAX_FRAME_BYTES);
     let (sink, stream) = Framed::new(io, codec).split();
     let sender = Sender {
         sent: PhantomData,
@@ -89,7 +89,7 @@
 }
 
 impl<T> Sender<T> {
-    /// Makes the rest of the stream carry another type of frames.
+    /// Changes the type of the following frames.
     pub fn retype<U>(self) -> Sender<U> {
         Sender {
             sent: PhantomData,
@@ -103,17 +103,17 @@
     ///
     /// # Errors
     ///
-    /// What the system reported; a time-out if the other end takes nothing.
+    /// The error of the system, or a timeout if the peer does not receive.
     pub async fn send(&mut self, frame: &T) -> io::Result<()> {
         let bytes = postcard::to_stdvec(frame).map_err(io::Error::other)?;
-        compio::time::timeout(SILENCE, self.sink.send(bytes.into()))
+        compio::time::timeout(PEER_TIMEOUT, self.sink.send(bytes.into()))
             .await
-            .map_err(|_| late())?
+            .map_err(|_| timed_out())?
     }
 }
 
 impl<T> Receiver<T> {
-    /// Makes the rest of the stream carry another type of frames.
+    /// Changes the type of the following frames.
     pub fn retype<U>(self) -> Receiver<U> {
         Receiver {
             received: PhantomData,
@@ -127,16 +127,16 @@
     ///
     /// # Errors
     ///
-    /// What the system reported, the end of the connection, or a time-out if nothing comes.
+    /// The error of the system, the end of the connection, or a timeout.
     pub async fn next(&mut self) -> io::Result<T> {
-        let next = compio::time::timeout(SILENCE, self.stream.next()).await;
-        match next.map_err(|_| late())? {
+        let next = compio::time::timeout(PEER_TIMEOUT, self.stream.next()).await;
+        match next.map_err(|_| timed_out())? {
             Some(frame) => postcard::from_bytes(&frame?).map_err(io::Error::other),
             None => Err(io::ErrorKind::UnexpectedEof.into()),
         }
     }
 }
 
-fn late() -> io::Error {
-    io::Error::new(io::ErrorKind::TimedOut, "the other end is silent")
+fn timed_out() -> io::Error {
+    io::Error::new(io::ErrorKind::TimedOut, "the peer timed out")
 }
--- a/crates/edge/src/serve.rs
+++ b/crates/edge/src/internal_server.rs
@@ -1,4 +1,4 @@
-//! What a store tells entries, and takes from other stores.
+//! Internal connections that a store accepts from entries and other stores.
 
 use std::{
     io,
@@ -38,27 +38,27 @@
     load_delta::LoadDelta,
     load_table::LoadTable,
     message::{
+        EndpointLoad,
         Gossip,
+        GossipAck,
         Hello,
         LoadReport,
-        Loaded, //
-        Push,
-        Receipt,
+        Push, //
     },
     state::{
-        Reported,
+        EntryReport,
         StoreState, //
     },
 };
 
-/// Time between two frames to an entry if nothing has to be told at once.
-const BEAT: Duration = Duration::from_millis(500);
+/// Interval of keepalives to an entry.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time for which changes are gathered before entries are told of them.
-const GATHER: Duration = Duration::from_millis(20);
+/// Time for which changes are batched before they are sent to entries.
+const BATCH_TIME: Duration = Duration::from_millis(20);
 
-/// Most endpoints in one frame: some tens of kilobytes.
-const CHUNK: usize = 200;
+/// Largest number of endpoint records in one frame: some tens of kilobytes.
+const CHUNK_RECORDS: usize = 200;
 
 /// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -71,7 +71,7 @@
                 spawn(answer(state.clone(), stream, peer)).detach();
             }
             Err(error) => {
-                log::warn!("a connection could not be accepted: {error}");
+                log::warn!("cannot accept a connection: {error}");
                 compio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -79,65 +79,65 @@
 }
 
 async fn answer(state: Rc<StoreState>, stream: TcpStream, peer: SocketAddr) {
-    let (sender, mut receiver) = frames::<Receipt, Hello>(stream);
-    let ended = match receiver.next().await {
+    let (sender, mut receiver) = frames::<GossipAck, Hello>(stream);
+    let result = match receiver.next().await {
         Ok(Hello::Entry { name, version }) => {
-            entry(&state, &name, version, sender.retype(), receiver.retype()).await
+            serve_entry(&state, &name, version, sender.retype(), receiver.retype()).await
         }
         Ok(Hello::Store { centre, member }) => {
-            gossip(&state, centre, &member, sender, receiver.retype()).await
+            receive_gossip(&state, centre, &member, sender, receiver.retype()).await
         }
         Err(error) => Err(error),
     };
-    if let Err(error) = ended {
-        log::debug!("the connection of {peer} has ended: {error}");
+    if let Err(error) = result {
+        log::debug!("connection from {peer} closed: {error}");
     }
 }
 
-async fn entry(
+async fn serve_entry(
     state: &StoreState,
     name: &str,
     version: u64,
     sender: Sender<Push>,
     receiver: Receiver<LoadReport>,
 ) -> io::Result<()> {
-    let pushing = pin!(push(state, name, version, sender));
-    let looking = pin!(receive_reports(state, name, receiver));
-    match select(pushing, looking).await {
+    let sending = pin!(push(state, name, version, sender));
+    let receiving = pin!(receive_reports(state, name, receiver));
+    match select(sending, receiving).await {
         Either::Left((result, _)) | Either::Right((result, _)) => result,
     }
 }
 
-/// Tells an entry of all that it lacks.
+/// Sends an entry all changes since its last push, and keepalives.
 async fn push(
     state: &StoreState,
     name: &str,
     mut version: u64,
     mut sender: Sender<Push>,
 ) -> io::Result<()> {
-    let mut told = 0;
+    let mut sent = 0;
     let mut stores = Vec::new();
     let mut confirmed = false;
     let mut delta = LoadDelta::default();
-    let mut beat = Duration::ZERO;
+    let mut next_keepalive = Duration::ZERO;
     loop {
         let listener = state.changed.listen();
         let now = state.clock.now();
         let known: Vec<_> = state.peers.borrow().addresses().collect();
         let document = state.document.borrow().clone();
         let document = document.filter(|document| document.version > version);
-        let records = state.registry.borrow().changed(now, told);
+        let records = state.registry.borrow().changed(now, sent);
         let current = state.replica.borrow().raft().current(now);
         let regained = current && !confirmed;
-        if document.is_some() || !records.is_empty() || regained || now >= beat {
-            told = state.registry.borrow().count();
+        if document.is_some() || !records.is_empty() || regained || now >= next_keepalive {
+            sent = state.registry.borrow().count();
             version = document
                 .as_ref()
                 .map_or(version, |document| document.version);
             let last = Push {
                 current,
                 document: document.map(|document| (*document).clone()),
-                loads: delta.update(state.elsewhere(name)),
+                loads: delta.update(state.loads_excluding(name)),
                 more: false,
                 records,
                 stores: match known == stores {
@@ -150,21 +150,21 @@
             }
             confirmed = current;
             stores = known;
-            beat = now + BEAT;
+            next_keepalive = now + KEEPALIVE_INTERVAL;
         }
-        let left = beat.saturating_sub(state.clock.now());
-        if compio::time::timeout(left, listener).await.is_ok() {
-            compio::time::sleep(GATHER).await;
+        let remaining = next_keepalive.saturating_sub(state.clock.now());
+        if compio::time::timeout(remaining, listener).await.is_ok() {
+            compio::time::sleep(BATCH_TIME).await;
         }
     }
 }
 
-/// Parts a push into frames that a slow link carries before the connection counts as silent. Only
-/// the last one may say that the entry knows all that it needs.
+/// Splits a push into frames that a slow link can carry within the timeout of the connection. Only the
+/// last one may mark the store as up to date.
 fn chunks(mut last: Push) -> Vec<Push> {
     let mut frames = Vec::new();
-    while last.records.len() > CHUNK {
-        let rest = last.records.split_off(CHUNK);
+    while last.records.len() > CHUNK_RECORDS {
+        let rest = last.records.split_off(CHUNK_RECORDS);
         let records = std::mem::replace(&mut last.records, rest);
         frames.push(Push {
             more: true,
@@ -176,7 +176,7 @@
     frames
 }
 
-/// Takes what an entry sees.
+/// Receives the load reports of an entry.
 async fn receive_reports(
     state: &StoreState,
     name: &str,
@@ -189,7 +189,7 @@
             let mut loads = state.loads.borrow_mut();
             loads.insert(
                 name.into(),
-                Reported {
+                EntryReport {
                     at: now,
                     loads: report.loads,
                 },
@@ -198,45 +198,45 @@
     }
 }
 
-/// Takes what another store tells.
-async fn gossip(
+/// Receives gossip from another store and acknowledges it.
+async fn receive_gossip(
     state: &Rc<StoreState>,
     centre: Box<str>,
     member: &Member,
-    mut sender: Sender<Receipt>,
+    mut sender: Sender<GossipAck>,
     mut receiver: Receiver<Gossip>,
 ) -> io::Result<()> {
     let SocketAddr::V4(address) = member.address else {
         return Err(io::ErrorKind::InvalidData.into());
     };
-    links::learn(state, [address]);
+    links::connect_stores(state, [address]);
     let located = Event::Locate(member.name.clone(), centre.clone());
     state.replica.borrow_mut().push(located);
-    state.peers.borrow_mut().called(address, centre);
+    state.peers.borrow_mut().accepted(address, centre);
     let mut table = LoadTable::default();
     loop {
         let mut gossip = receiver.next().await?;
         let upto = gossip.upto;
         if let Some(changes) = gossip.loads.take() {
             table.merge(changes);
-            hear(state, address, table.loads());
+            set_peer_loads(state, address, table.loads());
         }
-        take(state, member, address, gossip);
-        sender.send(&Receipt { upto }).await?;
+        apply_gossip(state, member, address, gossip);
+        sender.send(&GossipAck { upto }).await?;
     }
 }
 
-/// Takes the loads that another store tells.
-fn hear(state: &StoreState, address: SocketAddrV4, loads: Vec<Loaded>) {
+/// Stores the loads that another store reports.
+fn set_peer_loads(state: &StoreState, address: SocketAddrV4, loads: Vec<EndpointLoad>) {
     let now = state.clock.now();
     if let Some(peer) = state.peers.borrow_mut().get_mut(address) {
         peer.loads = (now, loads);
     }
 }
 
-fn take(state: &Rc<StoreState>, member: &Member, address: SocketAddrV4, gossip: Gossip) {
+fn apply_gossip(state: &Rc<StoreState>, member: &Member, address: SocketAddrV4, gossip: Gossip) {
     let now = state.clock.now();
-    links::learn(state, gossip.stores);
+    links::connect_stores(state, gossip.stores);
     if let Some(peer) = state.peers.borrow_mut().get_mut(address) {
         peer.seen = now;
     }
@@ -244,13 +244,13 @@
     for record in gossip.records {
         state.registry.borrow_mut().merge(now, record);
     }
-    let news = !state.registry.borrow().changed(now, before).is_empty();
+    let changed = !state.registry.borrow().changed(now, before).is_empty();
     let mut replica = state.replica.borrow_mut();
     for bytes in gossip.log {
         match Message::decode(&bytes) {
             Some(message) => replica.receive(member.address, message),
             None => {
-                log::warn!(store = member.name.to_string(); "a message of the log cannot be read")
+                log::warn!(store = member.name.to_string(); "cannot decode a message of the replicated log")
             }
         }
     }
@@ -258,7 +258,7 @@
         replica.push(Event::Join(member));
     }
     drop(replica);
-    if news {
-        state.announce();
+    if changed {
+        state.notify();
     }
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,16 +1,16 @@
 //! Entries and stores of a deployment whose flows carry a reference to their endpoint.
 //!
-//! A [`Border`] translates what a platform speaks; the rest knows none of its words. All tasks of a
-//! process run on one thread. The decisions are made by the state machines of the packages
-//! `announcements`, `placement` and `store`; this one moves bytes between them and the sockets, the
-//! disk and the clock.
+//! A [`Border`] implements the protocol of a platform, on which nothing else here depends. All tasks of
+//! a process run on one thread. The logic is in the state machines of the packages `announcements`,
+//! `placement` and `store`; this package connects them to the sockets, the disk and the clock.
 
+mod adapter;
+mod admin;
 mod backoff;
-mod border;
+mod cache_file;
 mod clock;
 mod control;
 mod decisions;
-mod describe;
 mod document;
 mod document_file;
 mod endpoint_file;
@@ -19,36 +19,35 @@
 mod follow;
 mod forward;
 mod frames;
-mod kept_file;
+mod internal_server;
 mod links;
 mod load_delta;
 mod load_table;
+mod locality;
 mod logs;
 mod message;
 mod metrics;
-mod pages;
 mod peers;
-mod place;
-mod ready;
+mod readiness;
 mod reload;
 mod run;
 mod run_entry;
 mod run_store;
-mod serve;
 mod settings;
 mod staleness;
 mod state;
+mod status;
 mod view;
 
 pub use crate::{
-    backoff::Backoff,
-    border::{
+    adapter::{
         Border,
         Call,
         Kind,
         Packet,
         Reply, //
     },
+    backoff::Backoff,
     document::{
         Document,
         Route,
@@ -57,12 +56,12 @@
     error::Error,
     load_delta::LoadDelta,
     load_table::LoadTable,
+    locality::Locality,
     message::{
-        Loaded,
+        EndpointLoad,
         Push, //
     },
     peers::Peers,
-    place::Place,
     run::run,
     settings::{
         Role,
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -29,37 +29,37 @@
     },
     load_delta::LoadDelta,
     message::{
+        EndpointLoad,
         Gossip,
-        Hello,
-        Loaded,
-        Receipt, //
+        GossipAck,
+        Hello, //
     },
     state::StoreState,
 };
 
-/// Time between two frames to a store if nothing has to be told at once.
-const BEAT: Duration = Duration::from_millis(250);
+/// Interval of keepalives to a store.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Takes note of stores, and keeps a connection to each.
-pub fn learn(state: &Rc<StoreState>, addresses: impl IntoIterator<Item = SocketAddrV4>) {
+/// Adds stores, and maintains a connection to each new one.
+pub fn connect_stores(state: &Rc<StoreState>, addresses: impl IntoIterator<Item = SocketAddrV4>) {
     for address in addresses {
         let now = state.clock.now();
-        if state.peers.borrow_mut().learn(now, address) {
-            spawn(keep(state.clone(), address)).detach();
+        if state.peers.borrow_mut().add(now, address) {
+            spawn(maintain(state.clone(), address)).detach();
         }
     }
 }
 
-/// Keeps a connection to a store for as long as it is known.
-async fn keep(state: Rc<StoreState>, address: SocketAddrV4) {
+/// Maintains a connection to a store for as long as it is known.
+async fn maintain(state: Rc<StoreState>, address: SocketAddrV4) {
     let mut lost = false;
     let mut backoff = Backoff::default();
     loop {
-        let called = match state.peers.borrow_mut().get_mut(address) {
-            Some(peer) => peer.called.clone(),
+        let accepted = match state.peers.borrow_mut().get_mut(address) {
+            Some(peer) => peer.accepted.clone(),
             None => return,
         };
-        let error = match reach(address, backoff, &called).await {
+        let error = match connect_unless_accepted(address, backoff, &accepted).await {
             Some(Ok(stream)) => {
                 backoff.succeed();
                 let Err(error) = session(&state, address, stream, &mut lost).await;
@@ -75,7 +75,7 @@
             log::info!(store = address.to_string(), reason = error.to_string(); "another store is not reached");
             lost = true;
         }
-        let listener = called.listen();
+        let listener = accepted.listen();
         match state.peers.borrow_mut().get_mut(address) {
             Some(peer) => peer.queue.clear(),
             None => return,
@@ -87,14 +87,14 @@
     }
 }
 
-/// Connects to a store; none if that one calls meanwhile: it runs, and what was sent to it while it
-/// was dark is lost.
-async fn reach(
+/// Connects to a store; none if that store connects in the meantime, which shows that it runs: packets
+/// that were sent to it while it was down are lost, so a new attempt is faster.
+async fn connect_unless_accepted(
     address: SocketAddrV4,
     backoff: Backoff,
-    called: &Event,
+    accepted: &Event,
 ) -> Option<io::Result<TcpStream>> {
-    let listener = called.listen();
+    let listener = accepted.listen();
     let connecting = pin!(connect(address, backoff.connect_timeout()));
     match select(connecting, listener).await {
         Either::Left((stream, _)) => Some(stream),
@@ -108,7 +108,7 @@
     stream: TcpStream,
     lost: &mut bool,
 ) -> io::Result<Infallible> {
-    let (mut sender, receiver) = frames::<Hello, Receipt>(stream);
+    let (mut sender, receiver) = frames::<Hello, GossipAck>(stream);
     let hello = Hello::Store {
         centre: state.settings.centre.clone(),
         member: state.member.clone(),
@@ -118,9 +118,9 @@
         log::info!(store = address.to_string(); "another store is reached again");
         *lost = false;
     }
-    let telling = pin!(send_gossip(state, address, sender.retype()));
-    let counting = pin!(receive_receipts(state, address, receiver));
-    match select(telling, counting).await {
+    let sending = pin!(send_gossip(state, address, sender.retype()));
+    let receiving = pin!(receive_acks(state, address, receiver));
+    match select(sending, receiving).await {
         Either::Left((result, _)) | Either::Right((result, _)) => result,
     }
 }
@@ -130,9 +130,9 @@
     address: SocketAddrV4,
     mut sender: Sender<Gossip>,
 ) -> io::Result<Infallible> {
-    let mut told = 0;
+    let mut sent = 0;
     let mut delta = LoadDelta::default();
-    let mut beat = Duration::ZERO;
+    let mut next_keepalive = Duration::ZERO;
     loop {
         let wake = match state.peers.borrow_mut().get_mut(address) {
             Some(peer) => peer.wake.clone(),
@@ -140,28 +140,28 @@
         };
         let listener = wake.listen();
         let now = state.clock.now();
-        let due = now >= beat;
-        let loads = due.then(|| delta.update(state.reported()));
-        let gossip = gossip(state, address, told, loads);
+        let due = now >= next_keepalive;
+        let loads = due.then(|| delta.update(state.reported_loads()));
+        let gossip = gossip(state, address, sent, loads);
         if due || !gossip.log.is_empty() || !gossip.records.is_empty() {
             sender.send(&gossip).await?;
-            told = gossip.upto;
+            sent = gossip.upto;
         }
         if due {
-            beat = now + BEAT;
+            next_keepalive = now + KEEPALIVE_INTERVAL;
         }
-        let left = beat.saturating_sub(state.clock.now());
-        let _woken = compio::time::timeout(left, listener).await;
+        let remaining = next_keepalive.saturating_sub(state.clock.now());
+        let _woken = compio::time::timeout(remaining, listener).await;
     }
 }
 
-/// What a store has to be told that has all up to the change `told`; changed loads go with all that
-/// is told from time to time only.
+/// Gossip for a store that has all changes up to `sent`. Changed loads, if any, are sent with the data
+/// of keepalives only.
 fn gossip(
     state: &StoreState,
     address: SocketAddrV4,
-    told: u64,
-    loads: Option<Vec<Loaded>>,
+    sent: u64,
+    loads: Option<Vec<EndpointLoad>>,
 ) -> Gossip {
     let due = loads.is_some();
     let mut peers = state.peers.borrow_mut();
@@ -175,26 +175,26 @@
     drop(peers);
     let registry = state.registry.borrow();
     Gossip {
-        join: (due && state.joins()).then(|| state.member.clone()),
+        join: (due && state.needs_join()).then(|| state.member.clone()),
         loads,
         log: queue.unwrap_or_default().into(),
-        records: registry.touched(state.clock.now(), told),
+        records: registry.touched(state.clock.now(), sent),
         stores,
         upto: registry.count(),
     }
 }
 
-async fn receive_receipts(
+async fn receive_acks(
     state: &StoreState,
     address: SocketAddrV4,
-    mut receiver: Receiver<Receipt>,
+    mut receiver: Receiver<GossipAck>,
 ) -> io::Result<Infallible> {
     loop {
-        let receipt = receiver.next().await?;
+        let ack = receiver.next().await?;
         if let Some(peer) = state.peers.borrow_mut().get_mut(address) {
-            peer.receipt = receipt.upto;
+            peer.acknowledged = ack.upto;
             peer.seen = state.clock.now();
         }
-        state.copied.notify(usize::MAX);
+        state.copies_acked.notify(usize::MAX);
     }
 }
--- a/crates/edge/src/load_delta.rs
+++ b/crates/edge/src/load_delta.rs
@@ -1,33 +1,33 @@
-//! The loads that were told over a connection, so that only changes are told again.
+//! Delta encoding of the loads sent over a connection.
 
 use std::collections::BTreeMap;
 
-use crate::message::Loaded;
+use crate::message::EndpointLoad;
 
-/// The loads that were told over a connection.
+/// The loads that were last sent over a connection.
 #[derive(Clone, Debug, Default)]
 pub struct LoadDelta {
-    told: BTreeMap<u32, Loaded>,
+    sent: BTreeMap<u32, EndpointLoad>,
 }
 
 impl LoadDelta {
-    /// What has changed since the last call: an endpoint without a load any more is told as idle.
-    pub fn update(&mut self, now: Vec<Loaded>) -> Vec<Loaded> {
-        let now: BTreeMap<_, _> = now
+    /// The changes since the last call; an endpoint that no longer has load is included as idle.
+    pub fn update(&mut self, loads: Vec<EndpointLoad>) -> Vec<EndpointLoad> {
+        let loads: BTreeMap<_, _> = loads
             .into_iter()
             .map(|loaded| (loaded.reference, loaded))
             .collect();
-        let fresh = now
+        let changed = loads
             .values()
-            .filter(|loaded| self.told.get(&loaded.reference) != Some(loaded));
-        let over = self.told.keys().filter(|key| !now.contains_key(key));
-        let idle = over.map(|reference| Loaded {
+            .filter(|loaded| self.sent.get(&loaded.reference) != Some(loaded));
+        let removed = self.sent.keys().filter(|key| !loads.contains_key(key));
+        let idle = removed.map(|reference| EndpointLoad {
             busy: 0,
             flows: 0,
             reference: *reference,
         });
-        let changes = fresh.copied().chain(idle).collect();
-        self.told = now;
+        let changes = changed.copied().chain(idle).collect();
+        self.sent = loads;
         changes
     }
 }
--- a/crates/edge/src/load_table.rs
+++ b/crates/edge/src/load_table.rs
@@ -1,19 +1,19 @@
-//! The loads that were heard over a connection, put together from changes.
+//! The loads received over a connection, assembled from changes.
 
 use std::collections::BTreeMap;
 
-use crate::message::Loaded;
+use crate::message::EndpointLoad;
 
-/// The loads that were heard over a connection: what the other end's
-/// [`LoadDelta`](crate::LoadDelta) was told last.
+/// The loads received over a connection: the last input of the peer's
+/// [`LoadDelta`](crate::LoadDelta).
 #[derive(Clone, Debug, Default)]
 pub struct LoadTable {
-    loads: BTreeMap<u32, Loaded>,
+    loads: BTreeMap<u32, EndpointLoad>,
 }
 
 impl LoadTable {
-    /// Takes in changes; an endpoint without a load is no longer listed.
-    pub fn merge(&mut self, changes: Vec<Loaded>) {
+    /// Merges changes; an endpoint without load is removed.
+    pub fn merge(&mut self, changes: Vec<EndpointLoad>) {
         for loaded in changes {
             match (loaded.busy, loaded.flows) {
                 (0, 0) => self.loads.remove(&loaded.reference),
@@ -23,7 +23,7 @@
     }
 
     /// All loads, in the order of their references.
-    pub fn loads(&self) -> Vec<Loaded> {
+    pub fn loads(&self) -> Vec<EndpointLoad> {
         self.loads.values().copied().collect()
     }
 }
--- a/crates/edge/src/place.rs
+++ b/crates/edge/src/locality.rs
@@ -1,19 +1,19 @@
-//! Where an entry stands, and how far other data centres are.
+//! Distances of data centres from an entry.
 
 use std::collections::BTreeMap;
 
 use placement::Distance;
 
-/// Where an entry stands.
+/// An entry's data centre, and the regions of all data centres.
 #[derive(Clone, Debug, Default)]
-pub struct Place {
+pub struct Locality {
     centre: Box<str>,
-    /// Regions of the data centres, as far as the settings name them.
+    /// Regions by data centre.
     regions: BTreeMap<Box<str>, Box<str>>,
 }
 
-impl Place {
-    /// An entry's place, as if all data centres stood in one region.
+impl Locality {
+    /// Creates the locality of an entry, with all data centres in one region.
     pub fn new(centre: &str) -> Self {
         Self {
             centre: centre.into(),
@@ -27,7 +27,7 @@
         self
     }
 
-    /// How far a data centre is. One whose region is not known counts as one of the same region.
+    /// Distance of a data centre. One with an unknown region counts as part of the same region.
     pub fn distance(&self, centre: &str) -> Distance {
         let regions = (self.regions.get(&self.centre), self.regions.get(centre));
         match regions {
--- a/crates/edge/src/logs.rs
+++ b/crates/edge/src/logs.rs
@@ -1,4 +1,4 @@
-//! The log: one JSON object a line on standard output, which is never waited for.
+//! Logging to standard output, one JSON object a line, without blocking the other tasks.
 
 use std::{
     io::{
@@ -31,16 +31,16 @@
 };
 use log::Record;
 
-/// Lines that wait to be written; one more is left out and counted. Some hundred kilobytes.
-const LINES: usize = 1024;
+/// Limit of queued lines, some hundred kilobytes; further lines are omitted and counted.
+const MAX_QUEUED_LINES: usize = 1024;
 
-/// Starts the log; it ends when the handle is dropped.
+/// Starts logging, which ends when the handle is dropped.
 ///
 /// # Errors
 ///
-/// What the logger reported.
+/// The error of the logger.
 pub fn start() -> Result<LoggerHandle, FlexiLoggerError> {
-    let (sender, receiver) = sync_channel(LINES);
+    let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
     thread::Builder::new()
         .name("log".into())
         .stack_size(64 * 1024)
@@ -50,15 +50,15 @@
             omitted: AtomicU64::new(0),
             sender,
         }))
-        // Its own messages would go to standard error, and end the task if that is full.
+        // The logger's own messages would go to standard error, and end the task if that is full.
         .error_channel(ErrorChannel::DevNull)
         .start()
 }
 
-/// The lines that wait to be written.
+/// The queue of lines to write.
 #[derive(Debug)]
 struct Queue {
-    /// Lines that were left out since the last one that was taken.
+    /// Lines omitted since the last queued one.
     omitted: AtomicU64,
     sender: SyncSender<Vec<u8>>,
 }
@@ -89,13 +89,13 @@
     }
 }
 
-/// Writes lines until the log ends; it is this thread that waits for the reader.
+/// Writes queued lines until logging ends; only this thread blocks on standard output.
 fn write(lines: &Receiver<Vec<u8>>) {
     let mut out = io::stdout().lock();
     while let Ok(mut bytes) = lines.recv() {
         bytes.extend(lines.try_iter().flatten());
         if out.write_all(&bytes).and_then(|()| out.flush()).is_err() {
-            // Nobody reads any more; the queue fills up and the lines are counted.
+            // The reader is gone; the queue fills up, and further lines are counted.
             return;
         }
     }
--- a/crates/edge/src/message.rs
+++ b/crates/edge/src/message.rs
@@ -1,7 +1,7 @@
-//! What entries and stores send each other: `postcard` in frames with their length in front.
+//! Messages between entries and stores, encoded with `postcard` in length-prefixed frames.
 //!
-//! The frames carry a stream of changes one way and receipts the other; calls of `tarpc`, each of
-//! which waits for its answer, would cost a packet each way for every change.
+//! The frames carry a stream of changes one way and acknowledgements the other; `tarpc` calls, each of
+//! which waits for its response, would cost a packet each way for every change.
 
 use std::net::SocketAddrV4;
 
@@ -14,11 +14,11 @@
 
 use crate::document::Document;
 
-/// The first frame of a connection: who calls.
+/// The first frame of a connection, which identifies its sender.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub enum Hello {
-    /// An entry, which has the document of that version.
+    /// An entry, with the version of its document.
     Entry {
         /// Its name.
         name: Box<str>,
@@ -34,68 +34,68 @@
     },
 }
 
-/// One endpoint's load as one or more entries see it.
+/// The load of one endpoint, as observed by one or more entries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Loaded {
-    /// Requests that it has not begun to answer.
+pub struct EndpointLoad {
+    /// Pending requests: sent, but without a first byte of response.
     pub busy: u32,
     /// Open flows.
     pub flows: u32,
-    /// The number that packets carry for it.
+    /// Reference to it in packets.
     pub reference: u32,
 }
 
-/// What a store sends to an entry that follows it; an empty one shows that it still runs.
+/// Changes that a store sends to an entry that follows it; an empty one is a keepalive.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize, Serialize)]
 pub struct Push {
-    /// Whether the store has all that a quorum of the stores had a moment ago.
+    /// Whether the store is up to date with a quorum.
     pub current: bool,
     /// A later document.
     pub document: Option<Document>,
-    /// What other entries told of endpoints' loads.
-    pub loads: Vec<Loaded>,
-    /// Whether another frame with endpoints follows at once.
+    /// Changed loads, as reported by other entries.
+    pub loads: Vec<EndpointLoad>,
+    /// Whether another frame of the same push follows.
     pub more: bool,
-    /// Endpoints that changed.
+    /// Changed endpoints.
     pub records: Vec<Record>,
-    /// Inner addresses of the stores that it knows, if they have changed.
+    /// Internal addresses of all known stores, if they have changed.
     pub stores: Vec<SocketAddrV4>,
 }
 
-/// What an entry sends to a store that it follows; an empty one shows that it still runs.
+/// Loads that an entry reports to a store that it follows, or a keepalive without loads.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize, Serialize)]
 pub struct LoadReport {
     /// Loads of the endpoints in use, if the entry reports them to this store.
-    pub loads: Vec<Loaded>,
-    /// Whether the loads replace those that it reported before.
+    pub loads: Vec<EndpointLoad>,
+    /// Whether the loads replace those of the previous report.
     pub reports: bool,
 }
 
-/// What a store sends to another; an empty one shows that it still runs.
+/// Changes that a store sends to another; an empty one is a keepalive.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize, Serialize)]
 pub struct Gossip {
-    /// Asks to be taken in as a member.
+    /// Request of the sender to join the group as this member.
     pub join: Option<Member>,
-    /// Changed loads as the entries that follow the sender report them.
-    pub loads: Option<Vec<Loaded>>,
+    /// Changed loads, as reported by the entries that follow the sender.
+    pub loads: Option<Vec<EndpointLoad>>,
     /// Messages of the replicated log.
     pub log: Vec<Vec<u8>>,
-    /// Endpoints that were heard.
+    /// Endpoints with a new heartbeat or another change.
     pub records: Vec<Record>,
-    /// Inner addresses of the stores that the sender knows.
+    /// Internal addresses of the stores known to the sender.
     pub stores: Vec<SocketAddrV4>,
-    /// Number of the sender's change up to which the records go.
+    /// Number of the sender's last change that the records include.
     pub upto: u64,
 }
 
-/// A receipt for all gossip up to a change of the sender's.
+/// Acknowledges all gossip up to a change of its sender.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize, Serialize)]
-pub struct Receipt {
+pub struct GossipAck {
     /// The change's number.
     pub upto: u64,
 }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -25,8 +25,8 @@
 };
 use wire::Refusals;
 
-/// Upper ends of the histograms' buckets, in seconds: from a sync of a fast disk to the longest
-/// that a caller waits.
+/// Upper bounds of the histograms' buckets, in seconds: from a sync of a fast disk to the longest wait of
+/// a client.
 const BUCKETS: [f64; 9] = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0];
 
 /// The label of gauges by phase of an endpoint.
@@ -40,34 +40,34 @@
 /// All metrics of the process.
 #[derive(Clone, Debug)]
 pub struct Metrics {
-    /// Time that calls of endpoints and operators took.
+    /// Duration of calls of endpoints and operators.
     pub calls: Histogram,
     /// Copies of opening packets: each one means that an endpoint did not answer in time.
     pub copies: Counter,
     /// Endpoints by phase.
     pub endpoints: Family<PhaseLabel, Gauge>,
-    /// Flows that the entry remembers.
+    /// Flows that the entry tracks.
     pub flows: Gauge,
     /// Whether this store leads: 1 or 0.
     pub leads: Gauge,
-    /// Idle flows that were reset because their endpoint has left or is out of reach.
+    /// Idle flows that were reset because their endpoint has left or is unreachable.
     pub orphans: Counter,
-    /// Packets that came.
+    /// Packets received.
     pub packets: Counter,
-    /// Flows that were placed.
+    /// New flows assigned to an endpoint.
     pub placed: Counter,
-    /// Whether a quorum was in contact lately, or a current store is followed: 1 or 0.
+    /// Whether a store has a quorum, or an entry follows a store that has one: 1 or 0.
     pub quorum: Gauge,
     /// Refusals by result code.
     pub refusals: Family<CodeLabel, Counter>,
-    /// Stores that are followed or reached.
+    /// Stores that an entry follows, or that a store can reach.
     pub stores: Gauge,
-    /// Datagrams that the system did not take.
+    /// Datagrams that could not be received or sent.
     pub unsent: Counter,
     /// Version of the document in force.
     pub version: Gauge,
     /// Refusals by number of the result code, for the status page.
-    refused: Rc<RefCell<BTreeMap<u16, u64>>>,
+    refusals_by_code: Rc<RefCell<BTreeMap<u16, u64>>>,
     registry: Rc<Registry>,
 }
 
@@ -111,7 +111,7 @@
             placed,
             quorum,
             refusals,
-            refused: Rc::default(),
+            refusals_by_code: Rc::default(),
             registry: Rc::new(registry),
             stores,
             unsent,
@@ -120,17 +120,17 @@
     }
 
     /// Counts a refusal.
-    pub fn refuse(&self, code: Code) {
+    pub fn count_refusal(&self, code: Code) {
         self.refusals.get_or_create(&CodeLabel::from(code)).inc();
-        let mut refused = self.refused.borrow_mut();
-        *refused.entry(code.number()).or_default() += 1;
+        let mut refusals_by_code = self.refusals_by_code.borrow_mut();
+        *refusals_by_code.entry(code.number()).or_default() += 1;
     }
 
-    /// How often each result code was given.
-    pub fn refused(&self) -> Vec<Refusals> {
-        let refused = self.refused.borrow();
-        let refused = refused.iter();
-        refused
+    /// Number of refusals by result code.
+    pub fn refusals_by_code(&self) -> Vec<Refusals> {
+        let refusals_by_code = self.refusals_by_code.borrow();
+        let refusals_by_code = refusals_by_code.iter();
+        refusals_by_code
             .map(|(code, count)| Refusals {
                 code: *code,
                 count: *count,
@@ -142,20 +142,20 @@
     ///
     /// # Errors
     ///
-    /// What the encoder reported.
+    /// The error of the encoder.
     pub fn text(&self) -> Result<String, fmt::Error> {
         let mut text = String::new();
         encode(&mut text, &self.registry)?;
         Ok(text)
     }
 
-    /// Notes how long a call took.
-    pub fn called(&self, time: Duration) {
+    /// Records the duration of a call.
+    pub fn observe_call(&self, time: Duration) {
         self.calls.observe(time.as_secs_f64());
     }
 
     /// Sets the number of endpoints in a phase.
-    pub fn phase(&self, phase: &str, count: usize) {
+    pub fn set_endpoints(&self, phase: &str, count: usize) {
         let label = PhaseLabel {
             phase: phase.into(),
         };
@@ -163,7 +163,7 @@
     }
 }
 
-/// A count as a gauge shows it.
+/// Converts a count to the value of a gauge.
 pub fn gauge(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other stores that a store knows.
+//! The table of the other stores.
 
 use std::{
     collections::{
@@ -12,37 +12,37 @@
 
 use event_listener::Event;
 
-use crate::message::Loaded;
+use crate::message::EndpointLoad;
 
-/// Most messages of the log that wait for one store; the oldest is lost first.
-const QUEUED_MESSAGES: usize = 256;
+/// Limit of queued messages of the replicated log for one store; the oldest is dropped first.
+const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// Time since the last word for which a store counts as reached: a few of its frames.
-const REACHED: Duration = Duration::from_secs(1);
+/// Time since the last frame for which a store counts as reachable: a few keepalive intervals.
+const REACHABLE_TIME: Duration = Duration::from_secs(1);
 
-/// Time without a word after which a store that is no member is forgotten.
-const FORGET: Duration = Duration::from_secs(60);
+/// Time without a frame after which a store that is not a member is removed.
+const EXPIRY_TIME: Duration = Duration::from_secs(60);
 
 /// Another store.
 #[derive(Debug)]
 pub struct Peer {
-    /// Notified when it has opened a connection, which shows that it runs.
-    pub called: Rc<Event>,
-    /// Its data centre, once it has said so.
+    /// Notified when a connection from it is accepted, which shows that it runs.
+    pub accepted: Rc<Event>,
+    /// Number of the last own change whose record it has acknowledged, with all earlier ones.
+    pub acknowledged: u64,
+    /// Its data centre, once known.
     pub centre: Option<Box<str>>,
-    /// Loads as the entries that follow it report them, and when it told of them.
-    pub loads: (Duration, Vec<Loaded>),
-    /// Messages of the log that wait for it.
+    /// Loads that the entries that follow it report, and when they arrived.
+    pub loads: (Duration, Vec<EndpointLoad>),
+    /// Queued messages of the replicated log.
     pub queue: VecDeque<Vec<u8>>,
-    /// Own change up to which it has all records.
-    pub receipt: u64,
-    /// When it was heard last.
+    /// When its last frame arrived.
     pub seen: Duration,
     /// Notified when there is something to send.
     pub wake: Rc<Event>,
 }
 
-/// The other stores that a store knows, by their inner addresses.
+/// The other known stores, by internal address.
 #[derive(Debug)]
 pub struct Peers {
     own: SocketAddrV4,
@@ -50,7 +50,7 @@
 }
 
 impl Peers {
-    /// Creates the list of a store that knows no other one.
+    /// Creates an empty table for the store with the internal address `own`.
     pub const fn new(own: SocketAddrV4) -> Self {
         Self {
             own,
@@ -59,16 +59,16 @@
     }
 
     /// Adds a store; returns whether it is new.
-    pub fn learn(&mut self, now: Duration, address: SocketAddrV4) -> bool {
+    pub fn add(&mut self, now: Duration, address: SocketAddrV4) -> bool {
         if address == self.own || self.peers.contains_key(&address) {
             return false;
         }
         let peer = Peer {
-            called: Rc::default(),
+            accepted: Rc::default(),
+            acknowledged: 0,
             centre: None,
             loads: (now, Vec::new()),
             queue: VecDeque::new(),
-            receipt: 0,
             seen: now,
             wake: Rc::default(),
         };
@@ -81,22 +81,22 @@
         self.peers.get_mut(&address)
     }
 
-    /// Queues a message of the log.
+    /// Queues a message of the replicated log.
     pub fn send(&mut self, address: SocketAddrV4, bytes: Vec<u8>) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.queue.push_back(bytes);
-            if peer.queue.len() > QUEUED_MESSAGES {
+            if peer.queue.len() > MAX_QUEUED_MESSAGES {
                 peer.queue.pop_front();
             }
             peer.wake.notify(usize::MAX);
         }
     }
 
-    /// Notes that a store has opened a connection and said in which data centre it stands.
-    pub fn called(&mut self, address: SocketAddrV4, centre: Box<str>) {
+    /// Records an accepted connection from a store, and its data centre.
+    pub fn accepted(&mut self, address: SocketAddrV4, centre: Box<str>) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.centre = Some(centre);
-            peer.called.notify(usize::MAX);
+            peer.accepted.notify(usize::MAX);
         }
     }
 
@@ -107,32 +107,35 @@
         }
     }
 
-    /// Number of stores that were heard lately.
-    pub fn reached(&self, now: Duration) -> usize {
+    /// Number of reachable stores.
+    pub fn reachable(&self, now: Duration) -> usize {
         let peers = self.peers.values();
-        let heard = peers.filter(|peer| now.saturating_sub(peer.seen) < REACHED);
-        heard.count()
+        let recent = peers.filter(|peer| now.saturating_sub(peer.seen) < REACHABLE_TIME);
+        recent.count()
     }
 
-    /// Whether all records up to an own change survive the loss of `losses` stores, and that of the
-    /// whole data centre `centre`: enough others have a copy, one of another data centre among them
-    /// if there is any.
-    pub fn copied(&self, change: u64, losses: usize, centre: &str) -> bool {
+    /// Whether all records up to an own change survive the loss of `losses` stores, and of the whole data
+    /// centre `centre`: enough stores have a copy, including one in another data centre if there is any.
+    pub fn replicated(&self, change: u64, losses: usize, centre: &str) -> bool {
         let remote = |peer: &&Peer| peer.centre.as_deref().is_some_and(|other| other != centre);
-        let copies = || self.peers.values().filter(|peer| peer.receipt >= change);
-        let abroad = losses == 0
+        let copies = || {
+            self.peers
+                .values()
+                .filter(|peer| peer.acknowledged >= change)
+        };
+        let remote_copy = losses == 0
             || !self.peers.values().any(|peer| remote(&peer))
             || copies().any(|peer| remote(&peer));
-        abroad && copies().count() >= losses
+        remote_copy && copies().count() >= losses
     }
 
-    /// Inner addresses of the stores that were heard lately, this one among them.
+    /// Internal addresses of the known stores, including this one.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddrV4> {
         self.peers.keys().copied().chain([self.own])
     }
 
-    /// Loads that the other stores told of since `since`.
-    pub fn loads(&self, since: Duration) -> impl Iterator<Item = &Loaded> {
+    /// Loads that the other stores have reported since `since`.
+    pub fn loads(&self, since: Duration) -> impl Iterator<Item = &EndpointLoad> {
         let peers = self
             .peers
             .values()
@@ -140,9 +143,9 @@
         peers.flat_map(|peer| &peer.loads.1)
     }
 
-    /// Forgets stores that said nothing for long, but for the ones that `kept` names.
+    /// Removes stores without a recent frame, except those for which `kept` returns true.
     pub fn tick(&mut self, now: Duration, kept: impl Fn(SocketAddrV4) -> bool) {
         self.peers
-            .retain(|address, peer| kept(*address) || now.saturating_sub(peer.seen) < FORGET);
+            .retain(|address, peer| kept(*address) || now.saturating_sub(peer.seen) < EXPIRY_TIME);
     }
 }
--- a/crates/edge/src/ready.rs
+++ b/crates/edge/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The face that tells routers whether the entry takes packets.
+//! The HTTP handler of readiness checks by routers.
 
 use std::{
     marker::PhantomData,
@@ -16,34 +16,34 @@
 use process::Handler;
 
 use crate::{
-    border::Border,
+    adapter::Border,
     entry::Entry, //
 };
 
-/// The face that tells routers whether the entry takes packets.
+/// Answers readiness checks of routers.
 #[derive(Debug)]
-pub struct Ready<B> {
-    border: PhantomData<B>,
+pub struct ReadinessHandler<B> {
+    adapter: PhantomData<B>,
     entry: Rc<Entry>,
 }
 
-impl<B> Ready<B> {
-    /// Creates the face of an entry.
+impl<B> ReadinessHandler<B> {
+    /// Creates the handler of an entry.
     pub const fn new(entry: Rc<Entry>) -> Self {
         Self {
-            border: PhantomData,
+            adapter: PhantomData,
             entry,
         }
     }
 }
 
-impl<B> Clone for Ready<B> {
+impl<B> Clone for ReadinessHandler<B> {
     fn clone(&self) -> Self {
         Self::new(self.entry.clone())
     }
 }
 
-impl<B: Border> Handler for Ready<B> {
+impl<B: Border> Handler for ReadinessHandler<B> {
     type Body = Full<Bytes>;
 
     fn handle(
@@ -51,7 +51,7 @@
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<Self::Body>> + 'static {
         let (parts, _) = request.into_parts();
-        let answer = B::ready(&parts, self.entry.ready());
-        async move { answer }
+        let response = B::ready(&parts, self.entry.ready());
+        async move { response }
     }
 }
--- a/crates/edge/src/reload.rs
+++ b/crates/edge/src/reload.rs
@@ -1,4 +1,4 @@
-//! The settings file while the process runs.
+//! Reloads of the settings file while the process runs.
 
 use std::{
     fs,
@@ -19,45 +19,45 @@
     settings::Settings, //
 };
 
-/// Time between two looks at the settings file, which may change without a signal.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval of checks of the settings file, which may change without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads the settings again whenever their file changes, until a planned stop is asked for.
+/// Reloads the settings on a signal or when their file changes, until a graceful shutdown is requested.
 ///
-/// A file that is not valid is logged, and what was read before stays.
+/// An invalid file is logged, and the previous settings stay in force.
 ///
 /// # Errors
 ///
 /// [`Error::Runtime`] if no signals can be received.
-pub async fn until_stop(
+pub async fn reload_until_stop(
     mut signals: Signals,
     path: &Path,
     apply: impl Fn(Settings),
 ) -> Result<(), Error> {
-    let mut read = modified(path);
+    let mut loaded = modified(path);
     loop {
-        let signal = compio::time::timeout(LOOK, signals.next()).await;
+        let signal = compio::time::timeout(CHECK_INTERVAL, signals.next()).await;
         let signal = signal.ok().transpose().map_err(Error::Runtime)?;
-        let now = modified(path);
+        let current = modified(path);
         match signal {
             Some(Signal::Stop) => break,
-            None if now == read => continue,
+            None if current == loaded => continue,
             Some(Signal::Reload) | None => {}
         }
-        read = now;
+        loaded = current;
         match Settings::read(path) {
             Ok(settings) => {
-                log::info!(signal = signal.is_some(); "the settings were read again");
+                log::info!(signal = signal.is_some(); "the settings were reloaded");
                 apply(settings);
             }
-            Err(error) => log::error!("{error}; what was read before stays"),
+            Err(error) => log::error!("{error}; the previous settings stay in force"),
         }
     }
-    log::info!("a planned stop has begun");
+    log::info!("graceful shutdown has started");
     Ok(())
 }
 
-/// When the file was changed; none if it can't be told, as while it is replaced.
+/// Modification time of the file; none if it cannot be read, for example while it is replaced.
 fn modified(path: &Path) -> Option<SystemTime> {
     fs::metadata(path).and_then(|data| data.modified()).ok()
 }
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting, running and stopping a process.
+//! Startup of a process by its settings file.
 
 use std::{
     path::Path,
@@ -9,7 +9,7 @@
 use process::Handlers;
 
 use crate::{
-    border::Border,
+    adapter::Border,
     error::Error,
     logs, run_entry, run_store,
     settings::{
@@ -18,7 +18,7 @@
     },
 };
 
-/// Runs the process as its settings file says, with the words of a platform.
+/// Runs a process with a settings file and the adapter of a platform.
 pub fn run<B: Border>(path: &Path) -> ExitCode {
     match start::<B>(path) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/edge/src/run_entry.rs
+++ b/crates/edge/src/run_entry.rs
@@ -1,4 +1,4 @@
-//! Running an entry: its faces, its followers of stores, and its planned stop.
+//! Startup, main loop and graceful shutdown of an entry.
 
 use std::{
     net::{
@@ -24,32 +24,32 @@
 };
 
 use crate::{
-    border::Border,
+    adapter::Border,
+    admin,
     entry::Entry,
     error::Error,
     follow,
     forward::forward,
     metrics::gauge,
-    pages,
-    ready::Ready,
-    reload::until_stop,
+    readiness::ReadinessHandler,
+    reload::reload_until_stop,
     settings::Settings, //
 };
 
-/// Time between two looks at what is over.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval of timer work.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time from the begin of a stop for which packets are forwarded in any case: until a router has
-/// missed two answers and sends its flows elsewhere.
-const LEAVE: Duration = Duration::from_millis(1_600);
+/// Shortest time for which packets are still forwarded during a graceful shutdown: until two readiness
+/// checks of a router have failed and it sends its flows elsewhere.
+const DRAIN_TIME: Duration = Duration::from_millis(1_600);
 
-/// Time without a packet after which no router sends any more.
-const QUIET: Duration = Duration::from_millis(600);
+/// Time without a packet after which no router sends packets any more.
+const QUIET_TIME: Duration = Duration::from_millis(600);
 
-/// Part of the time for a stop that is left unused, so that the process ends by itself.
-const MARGIN: Duration = Duration::from_millis(800);
+/// Part of the shutdown time that is left unused, so that the process ends before it is killed.
+const KILL_MARGIN: Duration = Duration::from_millis(800);
 
-/// Runs an entry until its planned stop is done.
+/// Runs an entry until its graceful shutdown is complete.
 pub async fn serve<B: Border>(
     settings: Settings,
     path: &Path,
@@ -69,29 +69,29 @@
     spawn(process::serve(
         entry.stop.clone(),
         listener,
-        Ready::<B>::new(entry.clone()),
+        ReadinessHandler::<B>::new(entry.clone()),
     ))
     .detach();
-    pages::expose(entry.clone()).await;
+    admin::serve(entry.clone()).await;
     follow::start::<B>(&entry);
     spawn(tick::<B>(entry.clone(), socket, port)).detach();
-    let apply = |settings: Settings| *entry.seeds.borrow_mut() = settings.seeded();
-    until_stop(signals, path, apply).await?;
+    let apply = |settings: Settings| *entry.seeds.borrow_mut() = settings.seed_addresses();
+    reload_until_stop(signals, path, apply).await?;
     entry.stop.begin();
-    leave(&entry).await;
+    drain(&entry).await;
     log::info!("stopped");
     Ok(())
 }
 
-/// Waits until no router sends packets any more, or the time for the stop is nearly over.
-async fn leave(entry: &Entry) {
-    let begun = entry.clock.now();
-    let last = begun + entry.settings.stop().saturating_sub(MARGIN);
+/// Waits until no router sends packets any more, or the shutdown time has nearly passed.
+async fn drain(entry: &Entry) {
+    let start = entry.clock.now();
+    let deadline = start + entry.settings.stop().saturating_sub(KILL_MARGIN);
     loop {
-        compio::time::sleep(TICK).await;
+        compio::time::sleep(TICK_INTERVAL).await;
         let now = entry.clock.now();
-        let quiet = now.saturating_sub(entry.packet.get()) >= QUIET;
-        if now >= last || (quiet && now >= begun + LEAVE) {
+        let quiet = now.saturating_sub(entry.packet_at.get()) >= QUIET_TIME;
+        if now >= deadline || (quiet && now >= start + DRAIN_TIME) {
             return;
         }
     }
@@ -99,32 +99,32 @@
 
 async fn tick<B: Border>(entry: Rc<Entry>, socket: Rc<PollFd<UdpSocket>>, port: u16) {
     loop {
-        compio::time::sleep(TICK).await;
+        compio::time::sleep(TICK_INTERVAL).await;
         let now = entry.clock.now();
         entry.view.borrow_mut().tick(now);
         let orphans = entry.view.borrow_mut().orphans(now);
         for packet in orphans {
             let mut out = Vec::new();
             B::reset(&packet, &mut out);
-            entry.decisions.orphaned(&packet);
+            entry.decisions.record_orphan(&packet);
             let to = SocketAddrV4::new(*packet.flow.caller.ip(), port);
             if let Err(error) = socket.send_to(&out, to) {
-                entry.decisions.lost(&error);
+                entry.decisions.record_io_error(&error);
             }
         }
-        entry.decisions.report(entry.clock.now());
-        measure(&entry);
+        entry.decisions.flush_omitted(entry.clock.now());
+        update_gauges(&entry);
     }
 }
 
-/// Brings the gauges up to what the entry knows.
-fn measure(entry: &Entry) {
+/// Updates the gauges.
+fn update_gauges(entry: &Entry) {
     let (view, metrics) = (entry.view.borrow(), &entry.decisions.metrics);
     metrics.flows.set(gauge(view.pool().flows()));
     metrics
         .version
         .set(i64::try_from(view.version()).unwrap_or(i64::MAX));
-    metrics.stores.set(gauge(view.followed()));
+    metrics.stores.set(gauge(view.followed_stores()));
     metrics.quorum.set(i64::from(view.current()));
     for (name, phase) in [
         ("draining", Phase::Draining),
@@ -133,7 +133,7 @@
         ("silent", Phase::Silent),
     ] {
         let endpoints = view.pool().iter();
-        metrics.phase(
+        metrics.set_endpoints(
             name,
             endpoints.filter(|endpoint| endpoint.phase == phase).count(),
         );
--- a/crates/edge/src/run_store.rs
+++ b/crates/edge/src/run_store.rs
@@ -1,4 +1,5 @@
-//! A store: the document and the announcements, kept with the other stores.
+//! Startup, main loop and graceful shutdown of a store, which replicates the document and the
+//! announcements.
 
 use std::{
     cell::{
@@ -43,39 +44,39 @@
 };
 
 use crate::{
-    border::Border,
+    adapter::Border,
+    admin,
     clock::Clock,
-    control::Control,
+    control::ControlHandler,
     document_file,
     endpoint_file,
     error::Error,
+    internal_server,
     links,
     metrics::{
         Metrics,
         gauge, //
     },
-    pages,
     peers::Peers,
-    reload::until_stop,
-    serve,
+    reload::reload_until_stop,
     settings::Settings,
     state::StoreState, //
 };
 
-/// Time between two looks at what is silent or over.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval of timer work.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Announcements that an endpoint may miss before it counts as silent.
-const MISSED: u32 = 3;
+/// Missed heartbeats after which an endpoint counts as silent.
+const MISSED_HEARTBEATS: u32 = 3;
 
-/// Applied entries after which a snapshot takes their place: documents are large, and so few
-/// entries fill a small disk.
-const SNAPSHOT: u64 = 64;
+/// Applied log entries after which a snapshot replaces them: documents are large, so few entries fill a
+/// small disk.
+const SNAPSHOT_ENTRIES: u64 = 64;
 
-/// Time from the begin of a stop for which calls are answered.
-const LEAVE: Duration = Duration::from_millis(300);
+/// Time for which calls are still answered during a graceful shutdown.
+const DRAIN_TIME: Duration = Duration::from_millis(300);
 
-/// Runs a store until its planned stop is done.
+/// Runs a store until its graceful shutdown is complete.
 pub async fn serve<B: Border>(
     settings: Settings,
     path: &Path,
@@ -83,7 +84,7 @@
 ) -> Result<(), Error> {
     let signals = Signals::new(handlers).map_err(Error::Runtime)?;
     let control = settings.control.ok_or(Error::Missing("control"))?;
-    let inner = TcpListener::bind(settings.inner())
+    let inner = TcpListener::bind(settings.listen_address())
         .await
         .map_err(Error::Listen)?;
     let listener = TcpListener::bind(control).await.map_err(Error::Listen)?;
@@ -93,28 +94,28 @@
         name = &*state.settings.name, member = state.member.id.to_string();
         "a store has started"
     );
-    spawn(serve::accept(state.clone(), inner)).detach();
+    spawn(internal_server::accept(state.clone(), inner)).detach();
     spawn(drive::<B>(state.clone(), folder)).detach();
     spawn(document_file::persist(state.clone())).detach();
     spawn(endpoint_file::persist(state.clone())).detach();
     spawn(tick(state.clone())).detach();
-    let face = Control::<B>::new(state.clone());
-    spawn(process::serve(state.stop.clone(), listener, face)).detach();
-    pages::expose(state.clone()).await;
-    links::learn(&state, state.settings.seeded());
+    let handler = ControlHandler::<B>::new(state.clone());
+    spawn(process::serve(state.stop.clone(), listener, handler)).detach();
+    admin::serve(state.clone()).await;
+    links::connect_stores(&state, state.settings.seed_addresses());
     let apply = |settings: Settings| {
-        links::learn(&state, settings.seeded());
-        *state.seeds.borrow_mut() = settings.seeded();
+        links::connect_stores(&state, settings.seed_addresses());
+        *state.seeds.borrow_mut() = settings.seed_addresses();
     };
-    until_stop(signals, path, apply).await?;
+    reload_until_stop(signals, path, apply).await?;
     state.stop.begin();
-    compio::time::sleep(LEAVE).await;
+    compio::time::sleep(DRAIN_TIME).await;
     log::info!("stopped");
     Ok(())
 }
 
-/// Brings the gauges up to what the store knows.
-fn measure(state: &StoreState) {
+/// Updates the gauges.
+fn update_gauges(state: &StoreState) {
     let (metrics, now) = (&state.metrics, state.clock.now());
     let replica = state.replica.borrow();
     let version = replica.ledger().published().map_or(0, |held| held.version);
@@ -123,49 +124,51 @@
     metrics
         .version
         .set(i64::try_from(version).unwrap_or(i64::MAX));
-    metrics.stores.set(gauge(state.peers.borrow().reached(now)));
+    metrics
+        .stores
+        .set(gauge(state.peers.borrow().reachable(now)));
     let registry = state.registry.borrow();
     let silent = registry
         .iter()
         .filter(|known| known.silent && !known.departed);
-    metrics.phase("silent", silent.count());
-    metrics.phase(
+    metrics.set_endpoints("silent", silent.count());
+    metrics.set_endpoints(
         "gone",
         registry.iter().filter(|known| known.departed).count(),
     );
-    metrics.phase("known", registry.iter().count());
+    metrics.set_endpoints("known", registry.iter().count());
 }
 
 fn open(settings: Settings) -> Result<(StoreState, Folder), Error> {
     let data = settings.data.clone().ok_or(Error::Missing("data"))?;
-    let own = settings.own();
-    let seeds = settings.seeded();
+    let own = settings.advertised_address();
+    let seeds = settings.seed_addresses();
     let founder = settings.founding && seeds.contains(&own);
-    let fresh = match founder {
+    let new_id = match founder {
         true => founder_id(own),
         false => StoreId(rand::random()),
     };
     let timing = Timing::new()
-        .with_snapshot(SNAPSHOT)
+        .with_snapshot(SNAPSHOT_ENTRIES)
         .with_voters(2 * settings.losses.max(1) + 1);
-    let (mut replica, folder) = Replica::open(&data, fresh, timing)?;
+    let (mut replica, folder) = Replica::open(&data, new_id, timing)?;
     if founder {
         let members = seeds.iter().map(|seed| member(*seed, founder_id(*seed)));
         let mut members: Vec<_> = members.collect();
         members.sort_by_key(|member| member.address);
-        replica.push(Event::Found(group(&seeds), Members(members.into())));
+        replica.push(Event::Found(cluster_id(&seeds), Members(members.into())));
     }
     replica.push(Event::Locate(
         member(own, folder.id()).name,
         settings.centre.clone(),
     ));
     let clock = Clock::new();
-    let mut registry = Registry::new(settings.heartbeat() * MISSED);
+    let mut registry = Registry::new(settings.heartbeat() * MISSED_HEARTBEATS);
     endpoint_file::load(&data, clock.now(), &mut registry);
     let state = StoreState {
         changed: Wake::new(),
         clock,
-        copied: Wake::new(),
+        copies_acked: Wake::new(),
         document: RefCell::new(document_file::load(&data)),
         loads: RefCell::default(),
         member: member(own, folder.id()),
@@ -180,7 +183,7 @@
     Ok((state, folder))
 }
 
-/// A store as a member of the group; its address names it.
+/// A store as a member of the group, named by its address.
 fn member(address: SocketAddrV4, id: StoreId) -> Member {
     Member {
         address: address.into(),
@@ -190,15 +193,15 @@
     }
 }
 
-/// The id of a founder's first data folder, which all founders find alike.
+/// The id of a founder's first data folder, a hash that all founders compute alike.
 fn founder_id(address: SocketAddrV4) -> StoreId {
     let mut hasher = SipHasher13::new();
     hasher.write(address.to_string().as_bytes());
     StoreId(hasher.finish())
 }
 
-/// The group that the stores at these addresses found.
-fn group(seeds: &[SocketAddrV4]) -> ClusterId {
+/// The id of the group founded by the stores at these addresses.
+fn cluster_id(seeds: &[SocketAddrV4]) -> ClusterId {
     let mut seeds = seeds.to_vec();
     seeds.sort();
     let mut hasher = SipHasher13::new();
@@ -210,7 +213,7 @@
 
 async fn tick(state: Rc<StoreState>) {
     loop {
-        compio::time::sleep(TICK).await;
+        compio::time::sleep(TICK_INTERVAL).await;
         let now = state.clock.now();
         let members: Vec<_> = {
             let replica = state.replica.borrow();
@@ -221,12 +224,12 @@
             SocketAddr::V4(address) => Some(*address),
             SocketAddr::V6(_) => None,
         });
-        links::learn(&state, addresses);
+        links::connect_stores(&state, addresses);
         let seeds = state.seeds.borrow().clone();
         state.peers.borrow_mut().tick(now, |address| {
             seeds.contains(&address) || members.contains(&address.into())
         });
-        measure(&state);
+        update_gauges(&state);
         let before = state.registry.borrow().count();
         state.registry.borrow_mut().tick(now);
         let changed = state.registry.borrow().changed(now, before);
@@ -242,10 +245,10 @@
     }
 }
 
-/// The process around the store's driver.
-struct Around<'a, B> {
-    border: std::marker::PhantomData<B>,
-    /// Whether the store had all that a quorum had when events were handled last.
+/// Connects the replica to the process.
+struct Driver<'a, B> {
+    adapter: std::marker::PhantomData<B>,
+    /// Whether the store was up to date with a quorum when events were last handled.
     current: Cell<bool>,
     state: &'a StoreState,
     /// Version of the publication that was decoded last.
@@ -253,18 +256,18 @@
 }
 
 async fn drive<B: Border>(state: Rc<StoreState>, folder: Folder) {
-    let around = Around::<B> {
-        border: std::marker::PhantomData,
+    let driver = Driver::<B> {
+        adapter: std::marker::PhantomData,
         current: Cell::new(false),
         state: &state,
         version: Cell::new(state.version()),
     };
-    around.handled();
-    replica::run(&around, folder).await;
+    driver.handled();
+    replica::run(&driver, folder).await;
 }
 
-impl<B: Border> Around<'_, B> {
-    fn enforce(&self, held: &Publication) {
+impl<B: Border> Driver<'_, B> {
+    fn apply_document(&self, held: &Publication) {
         self.version.set(held.version);
         match B::document(&held.bytes) {
             Ok(document) => {
@@ -278,17 +281,17 @@
     }
 }
 
-impl<B: Border> Surroundings for Around<'_, B> {
+impl<B: Border> Surroundings for Driver<'_, B> {
     fn handled(&self) {
         let replica = self.state.replica.borrow();
         let current = replica.raft().current(self.state.clock.now());
         let regained = !self.current.replace(current) && current;
         let held = replica.ledger().published();
-        let later = held.filter(|held| held.version > self.version.get());
-        if let Some(held) = later {
-            self.enforce(held);
+        let newer = held.filter(|held| held.version > self.version.get());
+        if let Some(held) = newer {
+            self.apply_document(held);
         }
-        if regained || later.is_some() {
+        if regained || newer.is_some() {
             self.state.changed.notify(usize::MAX);
         }
     }
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -18,7 +18,7 @@
 
 use crate::error::Error;
 
-/// What a process does.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -29,8 +29,8 @@
     Store,
 }
 
-/// Largest number that stands for a time: more than a day of milliseconds.
-const LONGEST: f64 = 1e8;
+/// Largest number of a time setting: more than a day in milliseconds.
+const MAX_TIME: f64 = 1e8;
 
 /// The settings of an entry or a store.
 #[derive(Clone, Debug)]
@@ -41,36 +41,36 @@
     pub address: Ipv4Addr,
     /// Its data centre.
     pub centre: Box<str>,
-    /// Where endpoints and operators call; stores only.
+    /// Address for calls of endpoints and operators; stores only.
     pub control: Option<SocketAddrV4>,
     /// The data folder; stores only.
     pub data: Option<PathBuf>,
-    /// Whether the whole deployment starts for the first time.
+    /// Whether this is the first start of the whole deployment.
     pub founding: bool,
-    /// Time between two announcements of an endpoint, in milliseconds.
+    /// Heartbeat interval of endpoints, in milliseconds.
     heartbeat: f64,
-    /// Port at which stores take connections of entries and other stores.
+    /// Port for internal connections of entries and other stores to a store.
     pub inner: u16,
-    /// Stores whose disks may be lost at once.
+    /// Number of stores whose disks may be lost at once.
     pub losses: usize,
-    /// Port of the metrics; none if they are not served.
+    /// Port of the metrics; none to disable them.
     pub metrics: Option<u16>,
     /// The instance's name.
     pub name: Box<str>,
-    /// Where packets of routers arrive; entries only.
+    /// Address for packets of routers; entries only.
     pub packets: Option<SocketAddrV4>,
-    /// Where the routers ask whether the entry is ready; entries only.
+    /// Address for readiness checks of routers; entries only.
     pub readiness: Option<SocketAddrV4>,
-    /// Address at which entries and other stores reach this one, if it is not its own.
+    /// Advertised address for entries and other stores, if it differs from `address`.
     pub reached: Option<Ipv4Addr>,
-    /// Regions by data centre; those that are not named count as one region.
+    /// Regions by data centre; all data centres without an entry here count as one region.
     #[serde(default)]
     pub regions: BTreeMap<Box<str>, Box<str>>,
-    /// What the process does.
+    /// The role of the process.
     pub role: Role,
     /// Control addresses of some stores.
     pub seeds: Box<[SocketAddrV4]>,
-    /// Time after which a stopping process is killed, in seconds.
+    /// Time after which a process that is shutting down is killed, in seconds.
     stop: f64,
 }
 
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Read`], [`Error::Syntax`], or [`Error::Value`] for a time that is none.
+    /// [`Error::Read`], [`Error::Syntax`], or [`Error::Value`] for a time outside its range.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let text = fs::read_to_string(path).map_err(|cause| Error::Read {
             cause,
@@ -90,37 +90,37 @@
             path: path.into(),
         })?;
         for (name, time) in [("heartbeat", settings.heartbeat), ("stop", settings.stop)] {
-            if !(0.0..=LONGEST).contains(&time) {
+            if !(0.0..=MAX_TIME).contains(&time) {
                 return Err(Error::Value(name));
             }
         }
         Ok(settings)
     }
 
-    /// The inner address that the store listens at.
-    pub const fn inner(&self) -> SocketAddrV4 {
+    /// The internal address that the store listens on.
+    pub const fn listen_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.address, self.inner)
     }
 
-    /// The inner address at which others reach the store.
-    pub fn own(&self) -> SocketAddrV4 {
+    /// The internal address that the store advertises.
+    pub fn advertised_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.reached.unwrap_or(self.address), self.inner)
     }
 
-    /// Inner addresses of the seeds: each store takes inner connections at the same port.
-    pub fn seeded(&self) -> Vec<SocketAddrV4> {
+    /// Internal addresses of the seeds: all stores use the same port for internal connections.
+    pub fn seed_addresses(&self) -> Vec<SocketAddrV4> {
         let seeds = self.seeds.iter();
         seeds
             .map(|seed| SocketAddrV4::new(*seed.ip(), self.inner))
             .collect()
     }
 
-    /// Time between two announcements of an endpoint.
+    /// Heartbeat interval of endpoints.
     pub fn heartbeat(&self) -> Duration {
         Duration::from_secs_f64(self.heartbeat / 1000.0)
     }
 
-    /// Time after which a stopping process is killed.
+    /// Time after which a process that is shutting down is killed.
     pub fn stop(&self) -> Duration {
         Duration::from_secs_f64(self.stop)
     }
--- a/crates/edge/src/staleness.rs
+++ b/crates/edge/src/staleness.rs
@@ -1,14 +1,15 @@
-//! Whether a followed store is cut off from the others: it answers, but knows nothing new.
+//! Detection of a followed store without a quorum: it responds, but its state is stale.
 
 use std::time::Duration;
 
-/// Time for which a followed store may lack a quorum: an election takes about as long.
-const FIRST: Duration = Duration::from_millis(1_200);
+/// First time for which a followed store may lack a quorum: an election takes about as long.
+const TOLERANCE_MIN: Duration = Duration::from_millis(1_200);
 
-/// Longest such time, while no store has one: a change of the store costs a whole list of endpoints.
-const LAST: Duration = Duration::from_millis(4_800);
+/// Longest such time, while no store has a quorum: following another store costs a transfer of all
+/// endpoints.
+const TOLERANCE_MAX: Duration = Duration::from_millis(4_800);
 
-/// For how long followed stores have lacked a quorum.
+/// Time for which followed stores have lacked a quorum.
 #[derive(Clone, Copy, Debug)]
 pub struct Staleness {
     limit: Duration,
@@ -18,15 +19,15 @@
 impl Default for Staleness {
     fn default() -> Self {
         Self {
-            limit: FIRST,
+            limit: TOLERANCE_MIN,
             since: None,
         }
     }
 }
 
 impl Staleness {
-    /// Notes whether the followed store has a quorum; returns whether another one is to be followed.
-    pub fn note(&mut self, now: Duration, current: bool) -> bool {
+    /// Records whether the followed store has a quorum; returns whether to follow another one.
+    pub fn record(&mut self, now: Duration, current: bool) -> bool {
         if current {
             *self = Self::default();
             return false;
@@ -36,7 +37,7 @@
             return false;
         }
         self.since = None;
-        self.limit = self.limit.saturating_mul(2).min(LAST);
+        self.limit = self.limit.saturating_mul(2).min(TOLERANCE_MAX);
         true
     }
 }
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a store share.
+//! State shared by the tasks of a store.
 
 use std::{
     cell::RefCell,
@@ -20,51 +20,51 @@
 use crate::{
     clock::Clock,
     document::Document,
-    message::Loaded,
+    message::EndpointLoad,
     metrics::Metrics,
     peers::Peers,
     settings::Settings, //
 };
 
-/// Time after which a report of loads counts no longer.
-const LOADS: Duration = Duration::from_secs(2);
+/// Time after which a load report expires.
+const REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// What an entry reported last.
+/// The last load report of an entry.
 #[derive(Clone, Debug)]
-pub struct Reported {
-    /// When it did.
+pub struct EntryReport {
+    /// When it arrived.
     pub at: Duration,
-    /// What it said.
-    pub loads: Vec<Loaded>,
+    /// The loads.
+    pub loads: Vec<EndpointLoad>,
 }
 
-/// What the tasks of a store share. No borrow is held across an await.
+/// State shared by the tasks of a store. No borrow is held across an await.
 #[derive(Debug)]
 pub struct StoreState {
-    /// Notified when there is something to tell entries.
+    /// Notified when there is something to send to entries.
     pub changed: Event,
     pub clock: Clock,
-    /// Notified when another store has taken copies.
-    pub copied: Event,
+    /// Notified when another store has acknowledged copies.
+    pub copies_acked: Event,
     /// The document in force, decoded.
     pub document: RefCell<Option<Rc<Document>>>,
-    /// Loads as the entries that follow this store report them, by the entry's name.
-    pub loads: RefCell<BTreeMap<Box<str>, Reported>>,
+    /// Load reports of the entries that follow this store, by the entry's name.
+    pub loads: RefCell<BTreeMap<Box<str>, EntryReport>>,
     /// This store as a member of the group.
     pub member: Member,
     pub metrics: Metrics,
     pub peers: RefCell<Peers>,
     pub registry: RefCell<Registry>,
     pub replica: RefCell<Replica>,
-    /// Inner addresses of the stores that the settings name.
+    /// Internal addresses of the seed stores.
     pub seeds: RefCell<Vec<SocketAddrV4>>,
     pub settings: Settings,
     pub stop: Rc<Stop>,
 }
 
 impl StoreState {
-    /// Tells entries and other stores at once that there is something new.
-    pub fn announce(&self) {
+    /// Wakes the connections to entries and other stores to send changes at once.
+    pub fn notify(&self) {
         self.changed.notify(usize::MAX);
         self.peers.borrow().wake();
     }
@@ -79,47 +79,47 @@
         }
     }
 
-    /// Whether this store asks to be taken in as a member.
-    pub fn joins(&self) -> bool {
+    /// Whether this store must request to join the group.
+    pub fn needs_join(&self) -> bool {
         self.replica.borrow().raft().needs_join(self.clock.now())
     }
 
-    /// Loads that the entries that follow this store reported lately, summed up.
-    pub fn reported(&self) -> Vec<Loaded> {
-        let since = self.clock.now().saturating_sub(LOADS);
+    /// Sum of the current load reports of the entries that follow this store.
+    pub fn reported_loads(&self) -> Vec<EndpointLoad> {
+        let since = self.clock.now().saturating_sub(REPORT_TTL);
         let mut loads = self.loads.borrow_mut();
         loads.retain(|_, report| report.at >= since);
         sum(loads.values().flat_map(|report| &report.loads))
     }
 
-    /// Version of the document that entries are told of; 0 if there is none.
+    /// Version of the document that is sent to entries; 0 if there is none.
     pub fn version(&self) -> u64 {
         let document = self.document.borrow();
         document.as_ref().map_or(0, |document| document.version)
     }
 
-    /// What all entries but one see, as far as it was told lately; nothing for an entry that
-    /// reports to another store and gets it there.
-    pub fn elsewhere(&self, name: &str) -> Vec<Loaded> {
-        let since = self.clock.now().saturating_sub(LOADS);
+    /// Sum of the current load reports of all entries but one; empty for an entry that reports to another
+    /// store, which sends it the loads.
+    pub fn loads_excluding(&self, name: &str) -> Vec<EndpointLoad> {
+        let since = self.clock.now().saturating_sub(REPORT_TTL);
         let loads = self.loads.borrow();
         if !loads.contains_key(name) {
             return Vec::new();
         }
-        let here = loads
+        let local = loads
             .iter()
             .filter(|(other, report)| &***other != name && report.at >= since)
             .flat_map(|(_, report)| &report.loads);
         let peers = self.peers.borrow();
-        sum(here.chain(peers.loads(since)))
+        sum(local.chain(peers.loads(since)))
     }
 }
 
-/// Sums loads up by endpoint.
-fn sum<'a>(loads: impl Iterator<Item = &'a Loaded>) -> Vec<Loaded> {
-    let mut sums: BTreeMap<u32, Loaded> = BTreeMap::new();
+/// Sums loads by endpoint.
+fn sum<'a>(loads: impl Iterator<Item = &'a EndpointLoad>) -> Vec<EndpointLoad> {
+    let mut sums: BTreeMap<u32, EndpointLoad> = BTreeMap::new();
     for loaded in loads {
-        let sum = sums.entry(loaded.reference).or_insert(Loaded {
+        let sum = sums.entry(loaded.reference).or_insert(EndpointLoad {
             busy: 0,
             flows: 0,
             reference: loaded.reference,
--- a/crates/edge/src/describe.rs
+++ b/crates/edge/src/status.rs
@@ -1,4 +1,4 @@
-//! Entries and stores in the words of the product's own interface.
+//! The state of entries and stores, in the types of the operators' interface.
 
 use std::{
     collections::BTreeMap,
@@ -25,9 +25,9 @@
 };
 
 use crate::{
+    admin::Inspect,
     entry::Entry,
     metrics::Metrics,
-    pages::Described,
     settings::{
         Role,
         Settings, //
@@ -35,7 +35,7 @@
     state::StoreState,
 };
 
-impl Described for Entry {
+impl Inspect for Entry {
     fn audit(&self, _query: &AuditQuery) -> Option<Vec<AuditLine>> {
         None
     }
@@ -50,7 +50,7 @@
             if let Some(held) = held {
                 let load = held.load();
                 endpoint.connections = load.flows;
-                endpoint.load = share(load.busy, held.slots);
+                endpoint.load = utilisation(load.busy, held.slots);
             }
         }
         endpoints
@@ -69,7 +69,7 @@
         let mut services = BTreeMap::new();
         for endpoint in view.pool().iter() {
             let name = view.pool().service_name(endpoint.service);
-            count(&mut services, name.unwrap_or_default(), endpoint);
+            count_endpoint(&mut services, name.unwrap_or_default(), endpoint);
         }
         let busy = view.pool().iter().map(|endpoint| endpoint.own_load().busy);
         Status {
@@ -78,7 +78,7 @@
             instances: Vec::new(),
             log: None,
             ready: self.ready(),
-            refusals: self.decisions.metrics.refused(),
+            refusals: self.decisions.metrics.refusals_by_code(),
             revision: view.version(),
             running: busy.sum(),
             services: services.into_values().collect(),
@@ -91,7 +91,7 @@
     }
 }
 
-impl Described for StoreState {
+impl Inspect for StoreState {
     fn audit(&self, query: &AuditQuery) -> Option<Vec<AuditLine>> {
         Some(replica::trail(&self.replica.borrow(), query))
     }
@@ -118,9 +118,9 @@
             endpoints: self.registry.borrow().iter().count(),
             instance: instance(&self.settings),
             instances: Vec::new(),
-            log: Some(self.group()),
+            log: Some(self.log_members()),
             ready: current && !self.stop.begun(),
-            refusals: self.metrics.refused(),
+            refusals: self.metrics.refusals_by_code(),
             revision: published.map_or(0, |held| held.version),
             running: 0,
             services: Vec::new(),
@@ -134,14 +134,14 @@
 }
 
 impl StoreState {
-    /// The group. Stores know each other by address only, and themselves by name.
-    fn group(&self) -> LogMembers {
+    /// Members of the group. Other stores are named by their addresses only.
+    fn log_members(&self) -> LogMembers {
         let replica = self.replica.borrow();
-        let mut group = replica::members(&replica, self.clock.now());
+        let mut members = replica::members(&replica, self.clock.now());
         if replica.raft().leads() {
-            group.leader = Some(self.settings.name.clone());
+            members.leader = Some(self.settings.name.clone());
         }
-        group
+        members
     }
 }
 
@@ -151,7 +151,7 @@
         addresses: Addresses {
             admin: (settings.address, pages).into(),
             fabric: settings.packets.map(SocketAddr::V4),
-            inner: settings.own().into(),
+            inner: settings.advertised_address().into(),
             requests: None,
         },
         centre: settings.centre.clone(),
@@ -162,7 +162,7 @@
     }
 }
 
-/// An endpoint as it announced itself; what it is used for is told by entries only.
+/// An endpoint as announced; only entries know its connections and load.
 fn announcement(known: &Known) -> Announcement {
     let own = &known.announcement;
     Announcement {
@@ -182,13 +182,17 @@
     }
 }
 
-/// Requests in work over slots: 1 if all slots are in use.
-fn share(busy: u32, slots: u16) -> f32 {
+/// Pending requests divided by slots: 1 if all slots are in use.
+fn utilisation(busy: u32, slots: u16) -> f32 {
     let busy = u16::try_from(busy).unwrap_or(u16::MAX);
     f32::from(busy) / f32::from(slots.max(1))
 }
 
-fn count(services: &mut BTreeMap<Box<str>, ServiceStatus>, name: &str, endpoint: &Endpoint) {
+fn count_endpoint(
+    services: &mut BTreeMap<Box<str>, ServiceStatus>,
+    name: &str,
+    endpoint: &Endpoint,
+) {
     let service = services
         .entry(name.into())
         .or_insert_with(|| ServiceStatus {
--- a/crates/edge/src/view.rs
+++ b/crates/edge/src/view.rs
@@ -1,4 +1,4 @@
-//! What an entry knows: routes, endpoints, and what each store that it follows says of them.
+//! An entry's view of routes and endpoints, merged from the stores that it follows.
 
 use std::{
     collections::{
@@ -29,82 +29,81 @@
 use rand::Rng;
 
 use crate::{
-    border::{
+    adapter::{
         Kind,
         Packet, //
     },
     document::Document,
+    locality::Locality,
     message::{
-        Loaded,
+        EndpointLoad,
         Push, //
     },
-    place::Place,
 };
 
-/// Stores that an entry follows at once: one may be cut off from the others without knowing.
-pub const SOURCES: usize = 2;
+/// Stores that an entry follows at once: one of them may be partitioned off without detecting it.
+pub const FOLLOWED_STORES: usize = 2;
 
-/// The followed store that gets this entry's loads and tells those of the others.
-pub const REPORTED: usize = 0;
+/// Slot of the followed store that receives this entry's load reports and sends those of the others.
+pub const LOAD_SLOT: usize = 0;
 
 /// Time for which an entry that has started waits for a store with a quorum before it places flows by
-/// a document that none has confirmed: a store that has a quorum hears so from its leader within
-/// 100 ms.
-const UNCONFIRMED: Duration = Duration::from_millis(100);
+/// an unconfirmed document: a store that has a quorum learns so from its leader within 100 ms.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What one followed store says.
+/// State of one followed store.
 #[derive(Clone, Debug, Default)]
 struct Source {
-    /// Whether the store said that it had all that a quorum had.
+    /// Whether the store was up to date with a quorum when it sent its last push.
     current: bool,
     /// Whether the store is followed now.
-    live: bool,
-    /// Endpoints that it has not heard of lately.
+    followed: bool,
+    /// Endpoints whose heartbeats it no longer receives.
     silent: BTreeSet<Box<str>>,
 }
 
-/// Where a route leads.
+/// Targets of a route.
 #[derive(Clone, Debug)]
 struct Destination {
-    /// Whether its requests may be sent anew after any failure.
+    /// Whether the route's requests may be retried after any failure.
     repeatable: bool,
     targets: Box<[Target]>,
 }
 
-/// What an entry knows.
+/// An entry's view of routes and endpoints.
 #[derive(Debug)]
 pub struct View {
-    /// Whether a store that was current has told all that it knew.
+    /// Whether a store that was up to date with a quorum has sent its whole state since the start.
     confirmed: bool,
-    /// Since when it has held a document.
-    held: Option<Duration>,
-    /// Until when endpoints may be missing only because they have not announced themselves yet.
-    learning: Duration,
-    /// Where it stands.
-    place: Place,
+    /// When the first document arrived.
+    document_since: Option<Duration>,
+    /// When all running endpoints must have been announced.
+    learning_until: Duration,
+    /// The entry's data centre, and the regions.
+    locality: Locality,
     /// The endpoints and flows.
     pool: Pool,
-    /// What was announced; keeps older records from replacing later ones.
+    /// Announcement records; prevents older records from replacing later ones.
     registry: Registry,
     routes: HashMap<SocketAddrV4, Destination>,
-    sources: [Source; SOURCES],
+    sources: [Source; FOLLOWED_STORES],
     /// Version of the document in force; 0 if there is none.
     version: u64,
 }
 
 impl View {
-    /// Creates the view of an entry that knows nothing yet.
+    /// Creates an empty view.
     ///
-    /// For the time `learning` after the start, it takes services without an endpoint for ones whose
-    /// endpoints it has not heard of yet.
-    pub fn new(place: Place, learning: Duration) -> Self {
+    /// Until `learning_until`, services without an endpoint count as ones whose endpoints have not been
+    /// announced yet.
+    pub fn new(locality: Locality, learning_until: Duration) -> Self {
         Self {
             confirmed: false,
-            held: None,
-            learning,
-            place,
+            document_since: None,
+            learning_until,
+            locality,
             pool: Pool::new(),
-            // Silence is the stores' to tell: an entry hears of an endpoint only when it changes.
+            // Stores detect missed heartbeats: an entry receives a record only when it changes.
             registry: Registry::new(Duration::MAX / 4),
             routes: HashMap::new(),
             sources: Default::default(),
@@ -117,7 +116,7 @@
         &self.pool
     }
 
-    /// What endpoints announced.
+    /// Announcement records of the endpoints.
     pub const fn registry(&self) -> &Registry {
         &self.registry
     }
@@ -128,19 +127,19 @@
     }
 
     /// Number of stores that are followed now.
-    pub fn followed(&self) -> usize {
-        self.sources.iter().filter(|source| source.live).count()
+    pub fn followed_stores(&self) -> usize {
+        self.sources.iter().filter(|source| source.followed).count()
     }
 
-    /// Whether a store that is followed now had all that a quorum had when it spoke last.
+    /// Whether a followed store was up to date with a quorum when it sent its last push.
     pub fn current(&self) -> bool {
         self.sources
             .iter()
-            .any(|source| source.live && source.current)
+            .any(|source| source.followed && source.current)
     }
 
-    /// Whether the entry can forward: it has a document that was the latest after its start, and
-    /// knows an endpoint that takes flows.
+    /// Whether the entry can forward: its document was confirmed after its start, and some endpoint
+    /// accepts flows.
     pub fn ready(&self) -> bool {
         let usable = self
             .pool
@@ -154,19 +153,19 @@
         self.confirmed
     }
 
-    /// Whether flows may be placed by the document that the entry holds. After a loss of all power, or in
-    /// a data centre that is cut off, no store may have a quorum for long; callers are then served by what
-    /// the stores last knew to be in force.
-    fn places(&self, now: Duration) -> bool {
-        let waited = |since| now.saturating_sub(since) >= UNCONFIRMED;
-        self.confirmed || self.held.is_some_and(waited)
+    /// Whether flows may be placed by the current document. After a total power loss, or in a partitioned
+    /// data centre, no store may have a quorum for long; clients are then served by the last document
+    /// that the stores knew to be in force.
+    fn accepts_flows(&self, now: Duration) -> bool {
+        let waited = |since| now.saturating_sub(since) >= CONFIRMATION_TIMEOUT;
+        self.confirmed || self.document_since.is_some_and(waited)
     }
 
-    /// Takes in what a followed store says; returns whether a later document came into force.
-    pub fn take(
+    /// Applies a push from the store in a slot; returns whether a later document came into force.
+    pub fn apply(
         &mut self,
         now: Duration,
-        source: usize,
+        slot: usize,
         push: Push,
         tag: impl Fn(&str) -> Option<u64>,
     ) -> bool {
@@ -175,71 +174,70 @@
             .filter(|document| document.version > self.version);
         let renewed = later.is_some();
         if let Some(document) = later {
-            self.enforce(&document);
+            self.apply_document(&document);
         }
         let names: Vec<_> = push
             .records
             .iter()
             .map(|record| record.announcement.name.clone())
             .collect();
-        if let Some(source) = self.sources.get_mut(source) {
-            source.live = true;
+        if let Some(source) = self.sources.get_mut(slot) {
+            source.followed = true;
             source.current = push.current || (push.more && source.current);
         }
         for record in push.records {
-            self.merge(now, source, record);
+            self.merge_record(now, slot, record);
         }
         for name in names {
-            self.refresh(now, &name, &tag);
+            self.update_endpoint(now, &name, &tag);
         }
         for loaded in push.loads {
-            self.share(loaded);
+            self.update_load(loaded);
         }
         if self.version > 0 {
-            self.held.get_or_insert(now);
+            self.document_since.get_or_insert(now);
             self.confirmed |= push.current;
         }
         renewed
     }
 
-    /// Notes that a store is followed no longer: its word on silence counts no more.
-    pub fn lose(&mut self, now: Duration, place: usize, tag: impl Fn(&str) -> Option<u64>) {
-        let Some(source) = self.sources.get_mut(place) else {
+    /// Marks the store in a slot as no longer followed; discards its silent endpoints and loads.
+    pub fn disconnect(&mut self, now: Duration, slot: usize, tag: impl Fn(&str) -> Option<u64>) {
+        let Some(source) = self.sources.get_mut(slot) else {
             return;
         };
-        source.live = false;
-        if place == REPORTED {
+        source.followed = false;
+        if slot == LOAD_SLOT {
             self.pool.clear_external_loads();
         }
         let names = std::mem::take(&mut source.silent);
         for name in names {
-            self.refresh(now, &name, &tag);
+            self.update_endpoint(now, &name, &tag);
         }
     }
 
-    /// Forgets what is over; to be called a few times a second.
+    /// Expires flows, records and endpoints; must be called a few times a second.
     pub fn tick(&mut self, now: Duration) {
         self.pool.tick(now);
         self.registry.tick(now);
         let registry = &self.registry;
-        let gone: Vec<_> = self
+        let expired: Vec<_> = self
             .pool
             .iter()
             .filter(|endpoint| registry.get(&endpoint.name).is_none())
             .map(|endpoint| endpoint.name.clone())
             .collect();
-        for name in gone {
+        for name in expired {
             self.pool.remove_endpoint(&name);
         }
     }
 
-    /// Finds the endpoint that gets a packet.
+    /// Finds the endpoint to forward a packet to.
     ///
     /// # Errors
     ///
-    /// [`Code::EntryStarting`] if it may have an endpoint that is not known yet: the caller sends
-    /// a copy soon. [`Code::PacketAddress`] if no route has the packet's destination, and what the
-    /// pool refuses.
+    /// [`Code::EntryStarting`] if its endpoint may not be known yet: the client will send a copy soon.
+    /// [`Code::PacketAddress`] if no route has the packet's destination, and the errors of the pool.
     pub fn route(
         &mut self,
         now: Duration,
@@ -254,25 +252,27 @@
                 self.pool
                     .lookup(now, flow, packet.reference, progress, repeatable)
             }
-            Kind::Open(_) if !self.places(now) => Err(Code::EntryStarting),
+            Kind::Open(_) if !self.accepts_flows(now) => Err(Code::EntryStarting),
             Kind::Open(_) => {
                 let FlowKey { route, .. } = packet.flow;
                 let unknown = match self.confirmed {
                     true => Code::PacketAddress,
-                    // A later document may have it.
+                    // A later document may have the route.
                     false => Code::EntryStarting,
                 };
                 let destination = self.routes.get(&route).ok_or(unknown)?;
                 let targets = &destination.targets;
                 match self.pool.open(now, packet.flow, targets, random) {
-                    Err(Code::FlowNoEndpoint) if now < self.learning => Err(Code::EntryStarting),
+                    Err(Code::FlowNoEndpoint) if now < self.learning_until => {
+                        Err(Code::EntryStarting)
+                    }
                     result => result,
                 }
             }
         }
     }
 
-    /// Idle flows whose endpoint has left or is out of reach, as packets that are to be reset.
+    /// Removes idle flows whose endpoint has left or is unreachable, and returns packets to reset them.
     pub fn orphans(&mut self, now: Duration) -> Vec<Packet> {
         let orphans = self.pool.orphans(now).into_iter();
         orphans
@@ -288,13 +288,13 @@
             .collect()
     }
 
-    /// Loads of the endpoints that this entry's own flows use.
-    pub fn loads(&self) -> Vec<Loaded> {
+    /// Loads that this entry's own flows put on their endpoints.
+    pub fn loads(&self) -> Vec<EndpointLoad> {
         let used = self
             .pool
             .iter()
             .filter(|endpoint| endpoint.own_load() != Load::default());
-        used.map(|endpoint| Loaded {
+        used.map(|endpoint| EndpointLoad {
             busy: endpoint.own_load().busy,
             flows: endpoint.own_load().flows,
             reference: endpoint.reference.number(),
@@ -302,7 +302,7 @@
         .collect()
     }
 
-    fn enforce(&mut self, document: &Document) {
+    fn apply_document(&mut self, document: &Document) {
         self.version = document.version;
         let pool = &mut self.pool;
         let keys: Vec<_> = document
@@ -330,11 +330,11 @@
             .collect();
     }
 
-    fn merge(&mut self, now: Duration, source: usize, record: Record) {
+    fn merge_record(&mut self, now: Duration, slot: usize, record: Record) {
         let name = record.announcement.name.clone();
         let silent = record.silent;
         self.registry.merge(now, record);
-        if let Some(source) = self.sources.get_mut(source) {
+        if let Some(source) = self.sources.get_mut(slot) {
             match silent {
                 true => source.silent.insert(name),
                 false => source.silent.remove(&name),
@@ -342,32 +342,38 @@
         }
     }
 
-    /// Brings the pool up to what the registry knows of an endpoint.
-    fn refresh(&mut self, now: Duration, name: &str, tag: impl Fn(&str) -> Option<u64>) {
+    /// Updates the pool from the registry's record of an endpoint.
+    fn update_endpoint(&mut self, now: Duration, name: &str, tag: impl Fn(&str) -> Option<u64>) {
         let Some(known) = self.registry.get(name) else {
             return;
         };
-        let mut live = self.sources.iter().filter(|source| source.live);
-        let heard = live.clone().count() == 0 || live.any(|source| !source.silent.contains(name));
+        let mut followed = self.sources.iter().filter(|source| source.followed);
+        let responsive =
+            followed.clone().count() == 0 || followed.any(|source| !source.silent.contains(name));
         let phase = match known.announcement.state {
             _ if known.departed => Phase::Gone,
             State::Draining => Phase::Draining,
-            State::Ready if heard => Phase::Ready,
+            State::Ready if responsive => Phase::Ready,
             State::Ready => Phase::Silent,
         };
-        let own = &known.announcement;
-        let service = self.pool.service(&own.service);
-        let warm = now + Duration::from_millis(u64::from(own.warmup));
-        let endpoint = Endpoint::new(name, own.incarnation, own.address, service)
-            .with_phase(phase)
-            .with_slots(own.slots)
-            .with_tag(tag(name).unwrap_or_default())
-            .with_warm(warm);
-        let distance = self.place.distance(&own.centre);
+        let announcement = &known.announcement;
+        let service = self.pool.service(&announcement.service);
+        let warm = now + Duration::from_millis(u64::from(announcement.warmup));
+        let endpoint = Endpoint::new(
+            name,
+            announcement.incarnation,
+            announcement.address,
+            service,
+        )
+        .with_phase(phase)
+        .with_slots(announcement.slots)
+        .with_tag(tag(name).unwrap_or_default())
+        .with_warm(warm);
+        let distance = self.locality.distance(&announcement.centre);
         self.pool.update(endpoint.with_distance(distance));
     }
 
-    fn share(&mut self, loaded: Loaded) {
+    fn update_load(&mut self, loaded: EndpointLoad) {
         if let Some(reference) = Reference::read(loaded.reference) {
             let load = Load {
                 busy: loaded.busy,
--- a/crates/edge/tests/backoff.rs
+++ b/crates/edge/tests/backoff.rs
@@ -1,13 +1,13 @@
-//! How soon a connection is tried again.
+//! Timeouts and pauses of connection attempts.
 
 use std::time::Duration;
 
 use mimosausher_edge::Backoff;
 
-/// Callers resend after this time first.
+/// Time after which clients first retransmit.
 const RESEND: Duration = Duration::from_millis(200);
 
-/// All machines lost power, and the stores come back one by one within three seconds.
+/// After a total power loss, the stores restart one by one within three seconds: attempts must be quick.
 #[test]
 fn fail_after_power_loss() {
     let mut backoff = Backoff::quick();
@@ -20,7 +20,7 @@
     }
 }
 
-/// The stores stay dark: tries become rare, and go to one store each.
+/// The stores stay down: attempts become rare, and go to one store each.
 #[test]
 fn fail_for_long() {
     let mut backoff = Backoff::quick();
--- a/crates/edge/tests/load_delta.rs
+++ b/crates/edge/tests/load_delta.rs
@@ -1,9 +1,9 @@
-//! Loads travel as changes.
+//! Delta encoding of loads.
 
 use mimosausher_edge::{
+    EndpointLoad, //
     LoadDelta,
     LoadTable,
-    Loaded, //
 };
 use rand::{
     Rng as _,
@@ -11,7 +11,7 @@
 };
 use rand_chacha::ChaCha8Rng;
 
-/// What one end hears is what the other end was told, whatever comes and goes between.
+/// The receiver ends up with the loads of the sender after any changes.
 #[test]
 fn merge_any_changes() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -26,8 +26,8 @@
     }
 }
 
-fn loaded(reference: u32, busy: u32) -> Loaded {
-    Loaded {
+fn loaded(reference: u32, busy: u32) -> EndpointLoad {
+    EndpointLoad {
         busy,
         flows: 1,
         reference,
@@ -52,7 +52,7 @@
 fn update_some_changes() {
     let mut delta = LoadDelta::default();
     delta.update(vec![loaded(1, 0), loaded(2, 3), loaded(3, 1)]);
-    let idle = Loaded {
+    let idle = EndpointLoad {
         busy: 0,
         flows: 0,
         reference: 3,
--- a/crates/edge/tests/settings.rs
+++ b/crates/edge/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: what is taken, and how each fault is named.
+//! Decoding of the settings file, and the result codes of its faults.
 
 use std::{
     fs,
@@ -35,7 +35,7 @@
     let settings = read(ENTRY).unwrap();
     assert_eq!(settings.heartbeat(), Duration::from_millis(770));
     assert_eq!(settings.stop(), Duration::from_secs(6));
-    let seeds = settings.seeded();
+    let seeds = settings.seed_addresses();
     assert_eq!(seeds[0], "10.0.0.2:7720".parse().unwrap());
 }
 
--- a/crates/edge/tests/view.rs
+++ b/crates/edge/tests/view.rs
@@ -1,4 +1,4 @@
-//! What an entry knows: routes and endpoints as two followed stores tell of them.
+//! An entry's view of routes and endpoints, merged from two followed stores.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use codes::Code;
 use mimosausher_edge::{
     Document,
+    EndpointLoad,
     Kind,
-    Loaded,
+    Locality,
     Packet,
-    Place,
     Push,
     Route,
     Share,
@@ -28,7 +28,7 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-const LEARNING: Duration = Duration::from_secs(2);
+const LEARNING_UNTIL: Duration = Duration::from_secs(2);
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -91,21 +91,21 @@
     }
 }
 
-struct World {
+struct Harness {
     random: ChaCha8Rng,
     view: View,
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(1),
-            view: View::new(Place::new("a"), LEARNING),
+            view: View::new(Locality::new("a"), LEARNING_UNTIL),
         }
     }
 
-    fn take(&mut self, source: usize, push: Push) -> bool {
-        self.view.take(at(10), source, push, |_| Some(1))
+    fn apply(&mut self, source: usize, push: Push) -> bool {
+        self.view.apply(at(10), source, push, |_| Some(1))
     }
 
     fn route(&mut self, now: Duration, packet: &Packet) -> Result<Box<str>, Code> {
@@ -119,129 +119,133 @@
     }
 }
 
-/// All entries start again at once: none refuses a caller for want of a document.
+/// All entries restart at once: none may refuse a client because it has no document yet.
 #[test]
-fn route_entry_that_starts() {
-    let mut world = World::new();
-    assert_eq!(world.route(at(0), &open(1)), Err(Code::EntryStarting));
+fn route_starting_entry() {
+    let mut harness = Harness::new();
+    assert_eq!(harness.route(at(0), &open(1)), Err(Code::EntryStarting));
     let mut stale = push(Some(document(7, &["s"])), vec![record("i-1", 1, false)]);
     stale.current = false;
-    world.take(0, stale);
-    assert!(!world.view.ready());
-    assert_eq!(world.route(at(20), &open(1)), Err(Code::EntryStarting));
-    world.take(1, push(None, vec![]));
-    assert!(world.view.ready());
-    assert_eq!(world.route(at(30), &open(1)), Ok("i-1".into()));
+    harness.apply(0, stale);
+    assert!(!harness.view.ready());
+    assert_eq!(harness.route(at(20), &open(1)), Err(Code::EntryStarting));
+    harness.apply(1, push(None, vec![]));
+    assert!(harness.view.ready());
+    assert_eq!(harness.route(at(30), &open(1)), Ok("i-1".into()));
 }
 
-/// All machines lost power and one store is back, or a data centre is cut off from all others.
+/// No store has a quorum, after a total power loss or in a partitioned data centre: clients are served by
+/// the last known document.
 #[test]
 fn route_no_quorum_anywhere() {
-    let mut world = World::new();
+    let mut harness = Harness::new();
     let mut stale = push(Some(document(7, &["s"])), vec![record("i-1", 1, false)]);
     stale.current = false;
-    world.take(0, stale);
-    assert_eq!(world.route(at(109), &open(1)), Err(Code::EntryStarting));
-    assert_eq!(world.route(at(110), &open(1)), Ok("i-1".into()));
-    assert!(!world.view.ready());
+    harness.apply(0, stale);
+    assert_eq!(harness.route(at(109), &open(1)), Err(Code::EntryStarting));
+    assert_eq!(harness.route(at(110), &open(1)), Ok("i-1".into()));
+    assert!(!harness.view.ready());
     let mut elsewhere = open(2);
     elsewhere.flow.route = "198.18.0.9:1".parse().unwrap();
     assert_eq!(
-        world.route(at(110), &elsewhere),
+        harness.route(at(110), &elsewhere),
         Err(Code::EntryStarting),
         "a later document may have the route"
     );
-    world.take(1, push(Some(document(8, &["s"])), vec![]));
-    assert_eq!(world.view.version(), 8);
-    assert_eq!(world.route(at(120), &elsewhere), Err(Code::PacketAddress));
+    harness.apply(1, push(Some(document(8, &["s"])), vec![]));
+    assert_eq!(harness.view.version(), 8);
+    assert_eq!(harness.route(at(120), &elsewhere), Err(Code::PacketAddress));
 }
 
 #[test]
-fn route_endpoints_not_heard_of_yet() {
-    let mut world = World::new();
-    world.take(0, push(Some(document(7, &["s"])), vec![]));
-    assert_eq!(world.route(at(100), &open(1)), Err(Code::EntryStarting));
-    assert_eq!(world.route(LEARNING, &open(1)), Err(Code::FlowNoEndpoint));
+fn route_endpoints_not_announced_yet() {
+    let mut harness = Harness::new();
+    harness.apply(0, push(Some(document(7, &["s"])), vec![]));
+    assert_eq!(harness.route(at(100), &open(1)), Err(Code::EntryStarting));
+    assert_eq!(
+        harness.route(LEARNING_UNTIL, &open(1)),
+        Err(Code::FlowNoEndpoint)
+    );
 }
 
 #[test]
 fn route_unknown_address() {
-    let mut world = World::new();
-    world.take(0, push(Some(document(7, &["s"])), vec![]));
+    let mut harness = Harness::new();
+    harness.apply(0, push(Some(document(7, &["s"])), vec![]));
     let mut packet = open(1);
     packet.flow.route = "198.18.0.9:1".parse().unwrap();
-    assert_eq!(world.route(at(20), &packet), Err(Code::PacketAddress));
+    assert_eq!(harness.route(at(20), &packet), Err(Code::PacketAddress));
 }
 
 #[test]
-fn take_older_document() {
-    let mut world = World::new();
-    assert!(world.take(0, push(Some(document(9, &["s"])), vec![])));
-    assert!(!world.take(1, push(Some(document(7, &["t"])), vec![])));
-    assert!(!world.take(1, push(Some(document(9, &["t"])), vec![])));
-    assert_eq!(world.view.version(), 9);
-    world.take(0, push(None, vec![record("i-1", 1, false)]));
-    assert_eq!(world.route(at(20), &open(1)), Ok("i-1".into()));
+fn apply_older_document() {
+    let mut harness = Harness::new();
+    assert!(harness.apply(0, push(Some(document(9, &["s"])), vec![])));
+    assert!(!harness.apply(1, push(Some(document(7, &["t"])), vec![])));
+    assert!(!harness.apply(1, push(Some(document(9, &["t"])), vec![])));
+    assert_eq!(harness.view.version(), 9);
+    harness.apply(0, push(None, vec![record("i-1", 1, false)]));
+    assert_eq!(harness.route(at(20), &open(1)), Ok("i-1".into()));
 }
 
-/// A store that is cut off hears of no endpoint; the other one does.
+/// A partitioned store receives no heartbeats, but the other one does: the endpoint is not silent.
 #[test]
-fn take_silence_of_one_store() {
-    let mut world = World::new();
-    world.take(
+fn apply_silence_of_one_store() {
+    let mut harness = Harness::new();
+    harness.apply(
         0,
         push(Some(document(7, &["s"])), vec![record("i-1", 1, true)]),
     );
-    assert_eq!(world.phase("i-1"), Phase::Silent);
-    world.take(1, push(None, vec![record("i-1", 1, false)]));
-    assert_eq!(world.phase("i-1"), Phase::Ready);
-    world.take(1, push(None, vec![record("i-1", 2, true)]));
-    assert_eq!(world.phase("i-1"), Phase::Silent);
-    world.view.lose(at(20), 0, |_| Some(1));
-    assert_eq!(world.phase("i-1"), Phase::Silent);
-    world.view.lose(at(20), 1, |_| Some(1));
-    assert_eq!(world.phase("i-1"), Phase::Ready);
-}
-
-/// The store that told of loads is lost: what it said last must not stay for good.
+    assert_eq!(harness.phase("i-1"), Phase::Silent);
+    harness.apply(1, push(None, vec![record("i-1", 1, false)]));
+    assert_eq!(harness.phase("i-1"), Phase::Ready);
+    harness.apply(1, push(None, vec![record("i-1", 2, true)]));
+    assert_eq!(harness.phase("i-1"), Phase::Silent);
+    harness.view.disconnect(at(20), 0, |_| Some(1));
+    assert_eq!(harness.phase("i-1"), Phase::Silent);
+    harness.view.disconnect(at(20), 1, |_| Some(1));
+    assert_eq!(harness.phase("i-1"), Phase::Ready);
+}
+
+/// The connection to the store that sends loads is lost: its last loads must be discarded.
 #[test]
-fn lose_store_that_told_of_loads() {
-    let mut world = World::new();
+fn disconnect_store_that_sends_loads() {
+    let mut harness = Harness::new();
     let mut loaded = push(Some(document(7, &["s"])), vec![record("i-1", 1, false)]);
-    loaded.loads = vec![Loaded {
+    loaded.loads = vec![EndpointLoad {
         busy: 9,
         flows: 9,
         reference: Reference::to("i-1").number(),
     }];
-    world.take(0, loaded);
-    let busy = |world: &World| {
-        let mut endpoints = world.view.pool().iter();
+    harness.apply(0, loaded);
+    let busy = |harness: &Harness| {
+        let mut endpoints = harness.view.pool().iter();
         endpoints.next().unwrap().load().busy
     };
-    assert_eq!(busy(&world), 9);
-    world.view.lose(at(20), 1, |_| Some(1));
-    assert_eq!(busy(&world), 9);
-    world.view.lose(at(20), 0, |_| Some(1));
-    assert_eq!(busy(&world), 0);
+    assert_eq!(busy(&harness), 9);
+    harness.view.disconnect(at(20), 1, |_| Some(1));
+    assert_eq!(busy(&harness), 9);
+    harness.view.disconnect(at(20), 0, |_| Some(1));
+    assert_eq!(busy(&harness), 0);
 }
 
 #[test]
-fn take_late_record() {
-    let mut world = World::new();
+fn apply_late_record() {
+    let mut harness = Harness::new();
     let mut draining = record("i-1", 9, false);
     draining.announcement.state = State::Draining;
-    world.take(0, push(Some(document(7, &["s"])), vec![draining]));
-    world.take(1, push(None, vec![record("i-1", 8, false)]));
-    assert_eq!(world.phase("i-1"), Phase::Draining);
+    harness.apply(0, push(Some(document(7, &["s"])), vec![draining]));
+    harness.apply(1, push(None, vec![record("i-1", 8, false)]));
+    assert_eq!(harness.phase("i-1"), Phase::Draining);
 }
 
 #[test]
-fn take_any_bytes() {
+fn apply_any_bytes() {
     bolero::check!().for_each(|bytes: &[u8]| {
         if let Ok(push) = postcard::from_bytes::<Push>(bytes) {
-            let mut world = World::new();
-            world.take(0, push);
-            let _routed = world.route(at(20), &open(1));
+            let mut harness = Harness::new();
+            harness.apply(0, push);
+            let _routed = harness.route(at(20), &open(1));
         }
     });
 }
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -96,7 +96,7 @@
         self.service_names.get(key).map(|name| &**name)
     }
 
-    /// Inserts or updates an endpoint. Its load and health, as observed here, are kept unless it restarted.
+    /// Inserts or updates an endpoint. Its observed load and health are kept unless it has restarted.
     pub fn update(&mut self, endpoint: Endpoint) {
         match self.names.get(&endpoint.name).copied() {
             Some(key) => self.replace(key, endpoint),
--- a/crates/placement/tests/pool.rs
+++ b/crates/placement/tests/pool.rs
@@ -308,8 +308,8 @@
     assert!(harness.pool.orphans(ms(1_700)).is_empty());
 }
 
-/// A partition has healed, but no client of this entry has used the endpoint since. Packets of a flow that
-/// moves to this entry later, with one lost among them, must not count as evidence of the partition.
+/// A partition has healed, but no client of this entry has used the endpoint since. Packets of a flow
+/// that moves to this entry later, one of them lost, must not count as evidence of the partition.
 #[test]
 fn orphans_long_after_partition() {
     let mut harness = Harness::new(2);
