--- a/crates/dispatch/benches/capacity.rs
+++ b/crates/dispatch/benches/capacity.rs
@@ -1,4 +1,4 @@
-//! What one request and one claim cost.
+//! Time per request and per claim.
 
 #![allow(missing_docs, reason = "a benchmark has no public items")]
 
@@ -35,7 +35,7 @@
 
 fn main() {
     let times: Vec<_> = ENDPOINTS
-        .map(|endpoints| (f64::from(endpoints), place(endpoints)))
+        .map(|endpoints| (f64::from(endpoints), place_request(endpoints)))
         .to_vec();
     let case = "by endpoint of the service";
     Fit::new(&times).print("capacity.dispatch_ns", case, "ns/request");
@@ -46,8 +46,8 @@
     Fit::new(&times).print("capacity.claim_ns", case, "ns/claim");
 }
 
-/// Nanoseconds to place a request and to end it.
-fn place(endpoints: u32) -> f64 {
+/// Nanoseconds to place and end a request.
+fn place_request(endpoints: u32) -> f64 {
     let mut pool = Pool::new(Observed::new(1), Limits::new());
     let candidates = (0..endpoints)
         .map(|key| Candidate {
@@ -65,7 +65,7 @@
         let outcome = Outcome::Answered;
         pool.handle(now, Event::Ended { outcome, ticket });
     }
-    nanos(start, REQUESTS)
+    nanos_each(start, REQUESTS)
 }
 
 /// Nanoseconds to claim a key.
@@ -95,9 +95,9 @@
         };
         holder.claim(Duration::from_millis(serial), claim);
     }
-    nanos(start, CLAIMS)
+    nanos_each(start, CLAIMS)
 }
 
-fn nanos(start: Instant, count: u64) -> f64 {
+fn nanos_each(start: Instant, count: u64) -> f64 {
     start.elapsed().as_secs_f64() * 1e9 / count as f64
 }
--- a/crates/dispatch/benches/requests.rs
+++ b/crates/dispatch/benches/requests.rs
@@ -1,8 +1,8 @@
-//! Policies for requests under load and faults, against an omniscient single queue.
+//! Request policies under load and faults, compared with an ideal single queue.
 //!
-//! The state machines are driven by one seeded event queue. All ways of a case see the same
-//! requests: the same times of arrival and the same work. Endpoints refuse what finds no free
-//! slot, unless the case says that they queue it.
+//! One seeded event queue drives the state machines. All policies of a case get the same requests,
+//! with the same arrival times and the same work. Endpoints refuse requests that find no free slot,
+//! unless the case gives them a queue.
 
 #![allow(missing_docs, reason = "a benchmark has no public items")]
 
@@ -11,18 +11,18 @@
 use std::time::Duration;
 
 use mimosausher_dispatch::{
-    Leased,
+    LeasedSlots,
+    LeastReported,
     Observed,
     Policy,
-    Reported,
     TwoChoices, //
 };
 use sim::{
     Case,
     Deployment,
-    Result,
-    omniscient,
-    run, //
+    RunResult,
+    run,
+    single_queue, //
 };
 use standin::Figure;
 
@@ -50,41 +50,43 @@
         Case::new("reports 2 s late").with_late(),
         Case::new("reports stuck").with_stuck(),
         Case::new("overload 150%").with_load(1.5),
-        Case::new("entry death").with_death(),
+        Case::new("entry death").with_crash(),
         Case::new("endpoints queue").with_backlog(8),
     ];
     for deployment in DEPLOYMENTS {
         for case in cases {
-            let best = omniscient(&deployment, &case, SEED);
-            print(&deployment, &case, "single queue", &best, &best);
-            for way in ["reported", "two choices", "probing", "shared", "leased"] {
-                let result = by_name(way, &deployment, &case);
-                print(&deployment, &case, way, &result, &best);
+            let ideal = single_queue(&deployment, &case, SEED);
+            print(&deployment, &case, "single queue", &ideal, &ideal);
+            for policy in ["reported", "two choices", "probing", "shared", "leased"] {
+                let result = run_policy(policy, &deployment, &case);
+                print(&deployment, &case, policy, &result, &ideal);
             }
         }
     }
 }
 
-fn by_name(way: &str, deployment: &Deployment, case: &Case) -> Result {
-    match way {
-        "reported" => go(deployment, case, false, |entry| Reported::new(seed(entry))),
-        "two choices" => go(deployment, case, false, |entry| {
+fn run_policy(policy: &str, deployment: &Deployment, case: &Case) -> RunResult {
+    match policy {
+        "reported" => simulate(deployment, case, false, |entry| {
+            LeastReported::new(seed(entry))
+        }),
+        "two choices" => simulate(deployment, case, false, |entry| {
             TwoChoices::new(seed(entry))
         }),
-        "probing" => go(deployment, case, false, |entry| Observed::new(seed(entry))),
-        "shared" => go(deployment, case, true, |entry| Observed::new(seed(entry))),
-        _ => go(deployment, case, true, |entry| {
-            Leased::new(entry, sim::ENTRIES)
+        "probing" => simulate(deployment, case, false, |entry| Observed::new(seed(entry))),
+        "shared" => simulate(deployment, case, true, |entry| Observed::new(seed(entry))),
+        _ => simulate(deployment, case, true, |entry| {
+            LeasedSlots::new(entry, sim::ENTRIES)
         }),
     }
 }
 
-fn go<P: Policy<Key = u32>>(
+fn simulate<P: Policy<Key = u32>>(
     deployment: &Deployment,
     case: &Case,
     exchange: bool,
     policy: impl Fn(u32) -> P,
-) -> Result {
+) -> RunResult {
     run(deployment, case, SEED, exchange, policy)
 }
 
@@ -92,18 +94,28 @@
     SEED + 1000 + u64::from(entry)
 }
 
-fn print(deployment: &Deployment, case: &Case, way: &str, result: &Result, best: &Result) {
-    let text = format!("{}, {}, {way}", deployment.name, case.name);
+fn print(
+    deployment: &Deployment,
+    case: &Case,
+    policy: &str,
+    result: &RunResult,
+    ideal: &RunResult,
+) {
+    let text = format!("{}, {}, {policy}", deployment.name, case.name);
     let figure = |name: &str, value: f64, unit: &str| {
         Figure::new(&format!("requests.{name}"), &text, value, unit).print();
     };
     figure("imbalance", result.imbalance, "");
-    figure("p99_ratio", result.p99() / best.p99(), "");
+    figure("p99_ratio", result.p99() / ideal.p99(), "");
     figure("goodput", result.goodput * 100.0, "% of capacity");
     figure("refused", result.refused * 100.0, "%");
-    figure("refused_with_free_slot", result.free * 100.0, "%");
-    figure("refused_with_usable_slot", result.usable * 100.0, "%");
+    figure("refused_with_free_slot", result.refused_free * 100.0, "%");
+    figure(
+        "refused_with_usable_slot",
+        result.refused_usable * 100.0,
+        "%",
+    );
     figure("shed_by_endpoint", result.shed * 100.0, "%");
-    figure("double_runs", f64::from(result.double), "");
-    figure("false_not_run", f64::from(result.false_not), "");
+    figure("double_runs", f64::from(result.double_runs), "");
+    figure("false_not_run", f64::from(result.false_not_run), "");
 }
--- a/crates/dispatch/benches/sim/case.rs
+++ b/crates/dispatch/benches/sim/case.rs
@@ -1,8 +1,8 @@
-//! The conditions of a run.
+//! Simulated deployments and cases.
 
 use std::time::Duration;
 
-/// One of the users' deployments.
+/// A user's deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     pub hop: Duration,
@@ -10,23 +10,23 @@
     pub slots: u16,
 }
 
-/// The conditions of a run.
+/// Load and faults of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    /// Requests that an endpoint queues; it refuses what is beyond.
+    /// Length of an endpoint's queue; it refuses further requests.
     pub backlog: usize,
-    /// Four endpoints are replaced by cold ones.
+    /// Whether four endpoints are replaced by cold ones.
     pub cold: bool,
-    /// An entry dies.
-    pub death: bool,
-    /// Offered load as a share of the capacity.
+    /// Whether an entry crashes.
+    pub crash: bool,
+    /// Offered load, as a share of the capacity.
     pub load: f64,
-    /// Time until a report is known.
+    /// Delay of the endpoints' reports.
     pub lag: Duration,
     pub name: &'static str,
-    /// One endpoint takes five times as long.
+    /// Whether one endpoint is five times slower.
     pub slow: bool,
-    /// Reports stay as they were first.
+    /// Whether all reports keep showing idle endpoints.
     pub stuck: bool,
 }
 
@@ -35,7 +35,7 @@
         Self {
             backlog: 0,
             cold: false,
-            death: false,
+            crash: false,
             lag: Duration::from_millis(100),
             load: 0.8,
             name,
@@ -54,8 +54,8 @@
         self
     }
 
-    pub const fn with_death(mut self) -> Self {
-        self.death = true;
+    pub const fn with_crash(mut self) -> Self {
+        self.crash = true;
         self
     }
 
--- a/crates/dispatch/benches/sim/endpoint.rs
+++ b/crates/dispatch/benches/sim/endpoint.rs
@@ -1,21 +1,21 @@
-//! An endpoint with a few slots.
+//! A simulated endpoint.
 
 use std::{
     collections::{
         BTreeMap,
         VecDeque, //
     },
-    time::Duration,
+    time::Duration, //
 };
 
-/// An endpoint with a few slots and, if the case has it, a queue.
+/// A simulated endpoint with a few slots and, in some cases, a queue.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// When it last got a free slot after all were in use.
+    /// Time at which a slot last became free while all were in use.
     pub freed: Duration,
-    /// Requests that run, with the number of their run.
+    /// Running requests, each with the number of its run.
     pub running: BTreeMap<u64, u64>,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: VecDeque<u64>,
 }
 
@@ -28,13 +28,13 @@
         }
     }
 
-    /// Whether a slot has been free for a while.
-    pub fn idle(&self, now: Duration, slots: u16, time: Duration) -> bool {
+    /// Whether a slot has been free for at least `min_time`.
+    pub fn idle(&self, now: Duration, slots: u16, min_time: Duration) -> bool {
         let free = self.running.len() < usize::from(slots);
-        free && now.saturating_sub(self.freed) >= time
+        free && now.saturating_sub(self.freed) >= min_time
     }
 
-    /// Share of the slots in use.
+    /// Running and queued requests per slot.
     pub fn load(&self, slots: u16) -> f32 {
         (self.running.len() + self.waiting.len()) as f32 / f32::from(slots)
     }
--- a/crates/dispatch/benches/sim/endpoints.rs
+++ b/crates/dispatch/benches/sim/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the endpoints of a run do.
+//! Simulation of the endpoints.
 
 use std::{
     collections::BTreeMap,
@@ -12,54 +12,54 @@
 };
 
 use super::{
-    ENTRIES, LENGTH, WARM, WINDOW,
-    happening::Happening,
+    ENTRIES, RUN_TIME, WARM_UP, WINDOW,
     plan::{
-        factor,
-        serving, //
+        serving,
+        slowdown, //
     },
-    world::{
-        World,
+    sim_event::SimEvent,
+    simulation::{
+        Simulation,
         measured, //
     },
 };
 
-/// Time between two reports of an endpoint.
-const REPORT: Duration = Duration::from_millis(500);
+/// Interval between an endpoint's reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-impl<P: Policy<Key = u32>> World<P> {
-    pub(super) fn reach(&mut self, now: Duration, endpoint: u32, entry: u32, request: u64) {
+impl<P: Policy<Key = u32>> Simulation<P> {
+    pub(super) fn deliver(&mut self, now: Duration, endpoint: u32, entry: u32, request: u64) {
         let slots = usize::from(self.deployment.slots);
         let hop = self.deployment.hop;
         let server = self.endpoints.get_mut(&endpoint).unwrap();
         if server.running.len() < slots {
-            self.start(now, endpoint, request);
+            self.start_request(now, endpoint, request);
         } else if server.waiting.len() < self.case.backlog {
             server.waiting.push_back(request);
         } else {
             self.shed += f64::from(u8::from(measured(now)));
-            self.at(now + hop, Happening::Shed { entry, request });
+            self.schedule(now + hop, SimEvent::Shed { entry, request });
         }
     }
 
-    pub(super) fn start(&mut self, now: Duration, endpoint: u32, request: u64) {
+    pub(super) fn start_request(&mut self, now: Duration, endpoint: u32, request: u64) {
         self.sequence += 1;
         let run = self.sequence;
         let work = self.requests[request as usize].work;
-        let time = work.mul_f64(factor(&self.case, endpoint, now));
+        let time = work.mul_f64(slowdown(&self.case, endpoint, now));
         *self.runs.entry(request).or_default() += 1;
         let server = self.endpoints.get_mut(&endpoint).unwrap();
         server.running.insert(request, run);
         if measured(now) {
-            let window = ((now - WARM).as_millis() / WINDOW.as_millis())
+            let window = ((now - WARM_UP).as_millis() / WINDOW.as_millis())
                 .try_into()
                 .unwrap();
-            let shares = self.busy.entry(window).or_default();
+            let shares = self.busy_seconds.entry(window).or_default();
             *shares.entry(endpoint).or_default() += time.as_secs_f64();
         }
-        self.at(
+        self.schedule(
             now + time,
-            Happening::Finish {
+            SimEvent::Finish {
                 endpoint,
                 request,
                 run,
@@ -74,16 +74,16 @@
         }
         server.end(now, request, self.deployment.slots);
         if let Some((entry, _)) = self.placed.get(&request).copied() {
-            let answer = Happening::Answer { entry, request };
-            self.at(now + self.deployment.hop, answer);
+            let answer = SimEvent::Answer { entry, request };
+            self.schedule(now + self.deployment.hop, answer);
         }
-        self.next(now, endpoint);
+        self.start_next(now, endpoint);
     }
 
-    pub(super) fn next(&mut self, now: Duration, endpoint: u32) {
+    pub(super) fn start_next(&mut self, now: Duration, endpoint: u32) {
         let server = self.endpoints.get_mut(&endpoint).unwrap();
         if let Some(request) = server.waiting.pop_front() {
-            self.start(now, endpoint, request);
+            self.start_request(now, endpoint, request);
         }
     }
 
@@ -104,7 +104,7 @@
         let membership = candidates.iter().map(|c| c.key).collect::<Vec<_>>();
         self.reports.push((now, candidates));
         let lag = self.case.lag;
-        let known = self
+        let delayed = self
             .reports
             .iter()
             .rev()
@@ -112,12 +112,12 @@
             .or(self.reports.first())
             .map(|(_, candidates)| candidates.clone())
             .unwrap_or_default();
-        let mut known: BTreeMap<u32, Candidate<u32>> =
-            known.into_iter().map(|c| (c.key, c)).collect();
+        let mut delayed: BTreeMap<u32, Candidate<u32>> =
+            delayed.into_iter().map(|c| (c.key, c)).collect();
         let current = membership
             .into_iter()
             .map(|key| {
-                known.remove(&key).unwrap_or(Candidate {
+                delayed.remove(&key).unwrap_or(Candidate {
                     key,
                     reported: 0.0,
                     slots,
@@ -125,10 +125,10 @@
             })
             .collect::<Vec<_>>();
         for entry in 0..ENTRIES {
-            self.give(now, entry, Event::Endpoints(current.clone()));
+            self.pool_event(now, entry, Event::Endpoints(current.clone()));
         }
-        if now < LENGTH {
-            self.at(now + REPORT, Happening::Report);
+        if now < RUN_TIME {
+            self.schedule(now + REPORT_INTERVAL, SimEvent::Report);
         }
     }
 }
--- a/crates/dispatch/benches/sim/mod.rs
+++ b/crates/dispatch/benches/sim/mod.rs
@@ -1,12 +1,12 @@
-//! Entries, endpoints and callers on one seeded event queue.
+//! Simulation of entries, endpoints and clients on one seeded event queue.
 
 mod case;
 mod endpoint;
 mod endpoints;
-mod happening;
-mod omniscient;
 mod plan;
-mod world;
+mod sim_event;
+mod simulation;
+mod single_queue;
 
 use std::{
     collections::BTreeMap,
@@ -21,7 +21,7 @@
         Case,
         Deployment, //
     },
-    omniscient::omniscient, //
+    single_queue::single_queue, //
 };
 
 /// Entries of a deployment.
@@ -30,47 +30,47 @@
 /// Endpoints of a service.
 pub const ENDPOINTS: u32 = 14;
 
-/// Simulated time of a run.
-pub const LENGTH: Duration = Duration::from_secs(35);
+/// Simulated duration of a run.
+pub const RUN_TIME: Duration = Duration::from_secs(35);
 
-/// Start of what is measured.
-pub const WARM: Duration = Duration::from_secs(5);
+/// Time before the measurement starts.
+pub const WARM_UP: Duration = Duration::from_secs(5);
 
-/// Mean time that a request takes.
-pub const WORK: Duration = Duration::from_millis(50);
+/// Mean work of a request.
+pub const MEAN_WORK: Duration = Duration::from_millis(50);
 
-/// Time within which a caller wants its answer.
+/// Time within which a client needs its answer.
 pub const DEADLINE: Duration = Duration::from_secs(2);
 
-/// Time over which the imbalance is taken.
+/// Window over which the imbalance is computed.
 pub const WINDOW: Duration = Duration::from_secs(15);
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug)]
-pub struct Result {
-    pub double: u32,
-    pub false_not: u32,
-    pub free: f64,
+pub struct RunResult {
+    pub double_runs: u32,
+    pub false_not_run: u32,
     pub goodput: f64,
     pub imbalance: f64,
     pub refused: f64,
+    pub refused_free: f64,
+    /// Refusals while a slot was free for longer than the round trip: the answer that freed it had
+    /// arrived, and another request could have been sent there.
+    pub refused_usable: f64,
     pub shed: f64,
     pub times: Histogram<u64>,
-    /// Refusals while a slot was free for longer than the way there and back: the answer that freed
-    /// it had arrived, and a next request could have.
-    pub usable: f64,
 }
 
-impl Result {
-    /// 99th percentile of the answer times in microseconds.
+impl RunResult {
+    /// 99th percentile of the response times in microseconds.
     pub fn p99(&self) -> f64 {
         self.times.value_at_quantile(0.99) as f64
     }
 }
 
-/// Mean over all windows of the busiest endpoint's share of work against the mean share.
-pub fn imbalance(busy: &BTreeMap<u64, BTreeMap<u32, f64>>) -> f64 {
-    let ratios: Vec<f64> = busy
+/// Ratio of the busiest endpoint's work to the mean, averaged over all windows.
+pub fn imbalance(busy_seconds: &BTreeMap<u64, BTreeMap<u32, f64>>) -> f64 {
+    let ratios: Vec<f64> = busy_seconds
         .values()
         .map(|shares| {
             let most = shares.values().copied().fold(0.0, f64::max);
@@ -81,13 +81,13 @@
     ratios.iter().sum::<f64>() / ratios.len() as f64
 }
 
-/// Runs one way.
+/// Runs a case with one policy.
 pub fn run<P: Policy<Key = u32>>(
     deployment: &Deployment,
     case: &Case,
     seed: u64,
     exchange: bool,
     policy: impl Fn(u32) -> P,
-) -> Result {
-    world::World::new(*deployment, *case, seed, exchange, policy).run()
+) -> RunResult {
+    simulation::Simulation::new(*deployment, *case, seed, exchange, policy).run()
 }
--- a/crates/dispatch/benches/sim/plan.rs
+++ b/crates/dispatch/benches/sim/plan.rs
@@ -1,4 +1,4 @@
-//! The requests of a run, the same for all ways.
+//! The requests of a run, the same for all policies.
 
 use std::time::Duration;
 
@@ -13,24 +13,24 @@
     Deployment,
     ENDPOINTS,
     ENTRIES,
-    LENGTH,
-    WORK, //
+    MEAN_WORK,
+    RUN_TIME, //
 };
 
-/// A request of the plan.
+/// A request of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Planned {
+pub struct PlannedRequest {
     pub at: Duration,
     pub entry: u32,
     pub keyed: bool,
     pub work: Duration,
 }
 
-/// Draws the requests: Poisson arrivals, exponential work, one in five with a key.
-pub fn plan(deployment: &Deployment, case: &Case, seed: u64) -> Vec<Planned> {
+/// Generates the requests: Poisson arrivals, exponential work, one in five with an idempotency key.
+pub fn plan(deployment: &Deployment, case: &Case, seed: u64) -> Vec<PlannedRequest> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let capacity = f64::from(ENDPOINTS * u32::from(deployment.slots)) / WORK.as_secs_f64();
-    // A slow endpoint has a fifth of its capacity.
+    let capacity = f64::from(ENDPOINTS * u32::from(deployment.slots)) / MEAN_WORK.as_secs_f64();
+    // A slow endpoint has a fifth of the normal capacity.
     let lost = if case.slow {
         0.8 / f64::from(ENDPOINTS)
     } else {
@@ -40,13 +40,13 @@
     let mut exponential = |mean: f64| -mean * (1.0 - random.random::<f64>()).ln();
     let mut draws = Vec::new();
     let mut at = 0.0;
-    while at < LENGTH.as_secs_f64() {
+    while at < RUN_TIME.as_secs_f64() {
         at += exponential(1.0 / rate);
-        draws.push((at, exponential(WORK.as_secs_f64())));
+        draws.push((at, exponential(MEAN_WORK.as_secs_f64())));
     }
     draws
         .into_iter()
-        .map(|(at, work)| Planned {
+        .map(|(at, work)| PlannedRequest {
             at: Duration::from_secs_f64(at),
             entry: random.random_range(0..ENTRIES),
             keyed: random.random_bool(0.2),
@@ -55,24 +55,24 @@
         .collect()
 }
 
-/// How many times longer an endpoint takes.
-pub fn factor(case: &Case, endpoint: u32, now: Duration) -> f64 {
+/// Factor by which an endpoint is slower than normal.
+pub fn slowdown(case: &Case, endpoint: u32, now: Duration) -> f64 {
     match endpoint {
         0 if case.slow => 5.0,
-        // Endpoints that start cold need four times as long at first.
+        // Cold endpoints take four times as long at first.
         ENDPOINTS.. => {
-            let age = now.saturating_sub(COLD).as_secs_f64();
+            let age = now.saturating_sub(FAULT_TIME).as_secs_f64();
             1.0 + 3.0 * (1.0 - age / 5.0).max(0.0)
         }
         _ => 1.0,
     }
 }
 
-/// When endpoints are replaced and an entry dies.
-pub const COLD: Duration = Duration::from_secs(15);
+/// Time at which endpoints are replaced or an entry crashes.
+pub const FAULT_TIME: Duration = Duration::from_secs(15);
 
-/// The endpoints that take new requests, as they say themselves.
+/// The endpoints that announce that they accept requests.
 pub fn serving(case: &Case, now: Duration) -> impl Iterator<Item = u32> {
-    let first = if case.cold && now >= COLD { 4 } else { 0 };
+    let first = if case.cold && now >= FAULT_TIME { 4 } else { 0 };
     first..ENDPOINTS + first
 }
--- a/crates/dispatch/benches/sim/happening.rs
+++ b/crates/dispatch/benches/sim/sim_event.rs
@@ -1,8 +1,8 @@
-//! What comes to pass in a run.
+//! Events of a simulation.
 
-/// What comes to pass next.
+/// An event of a simulation.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Happening {
+pub enum SimEvent {
     Answer {
         entry: u32,
         request: u64,
@@ -11,14 +11,14 @@
         entry: u32,
         request: u64,
     },
-    Die,
+    Crash,
     Exchange,
     Finish {
         endpoint: u32,
         request: u64,
         run: u64,
     },
-    Reach {
+    Deliver {
         endpoint: u32,
         entry: u32,
         request: u64,
@@ -31,7 +31,7 @@
     Tick {
         entry: u32,
     },
-    Told {
+    PeerLoad {
         counts: Vec<(u32, u16)>,
         entry: u32,
         peer: u32,
--- a/crates/dispatch/benches/sim/world.rs
+++ b/crates/dispatch/benches/sim/simulation.rs
@@ -1,4 +1,4 @@
-//! The state machines of all entries, and what surrounds them.
+//! The simulation of a run: the state machines of all entries, with their endpoints and clients.
 
 use std::{
     cmp::Reverse,
@@ -32,44 +32,52 @@
 };
 
 use super::{
-    Case, DEADLINE, Deployment, ENDPOINTS, ENTRIES, LENGTH, Result, WARM,
+    Case,
+    DEADLINE,
+    Deployment,
+    ENDPOINTS,
+    ENTRIES,
+    RUN_TIME,
+    RunResult,
+    WARM_UP,
     endpoint::Endpoint,
-    happening::Happening,
     imbalance,
     plan::{
-        COLD,
-        Planned,
+        FAULT_TIME,
+        PlannedRequest,
         plan,
         serving, //
     },
+    sim_event::SimEvent, //
 };
 
-/// Time between two exchanges of an entry with its peers.
-const EXCHANGE: Duration = Duration::from_millis(250);
+/// Interval between load exchanges of an entry with its peers.
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The entry that dies in the case of an entry's death.
-const VICTIM: u32 = 3;
+/// The entry that crashes.
+const CRASHED_ENTRY: u32 = 3;
 
-/// Time after which the callers of a dead entry send again.
-const RESEND: Duration = Duration::from_millis(100);
+/// Time after which the clients of a crashed entry resend.
+const RESEND_DELAY: Duration = Duration::from_millis(100);
 
-/// Everything that takes part in a run.
-pub struct World<P: Policy<Key = u32>> {
-    pub(super) busy: BTreeMap<u64, BTreeMap<u32, f64>>,
+/// A simulated run.
+pub struct Simulation<P: Policy<Key = u32>> {
+    pub(super) busy_seconds: BTreeMap<u64, BTreeMap<u32, f64>>,
     pub(super) case: Case,
-    pub(super) dead: BTreeSet<u32>,
+    pub(super) crashed: BTreeSet<u32>,
     pub(super) deployment: Deployment,
     pub(super) endpoints: BTreeMap<u32, Endpoint>,
     pub(super) exchange: bool,
-    pub(super) events: BinaryHeap<Reverse<(Duration, u64, Happening)>>,
-    pub(super) good: f64,
+    pub(super) events: BinaryHeap<Reverse<(Duration, u64, SimEvent)>>,
+    pub(super) good_work: f64,
     pub(super) holders: BTreeMap<Box<str>, Holder>,
     pub(super) not_run: BTreeSet<u64>,
     pub(super) placed: BTreeMap<u64, (u32, u32)>,
     pub(super) pools: Vec<Pool<P>>,
+    /// Refused requests: all, those while a slot was free, and those while one was usable.
     pub(super) refused: [f64; 3],
     pub(super) reports: Vec<(Duration, Vec<Candidate<u32>>)>,
-    pub(super) requests: Vec<Planned>,
+    pub(super) requests: Vec<PlannedRequest>,
     pub(super) ring: Ring,
     pub(super) runs: BTreeMap<u64, u32>,
     pub(super) sequence: u64,
@@ -78,7 +86,7 @@
     pub(super) times: Histogram<u64>,
 }
 
-impl<P: Policy<Key = u32>> World<P> {
+impl<P: Policy<Key = u32>> Simulation<P> {
     pub fn new(
         deployment: Deployment,
         case: Case,
@@ -92,22 +100,22 @@
             name: name(entry),
         }));
         let holder = |entry| {
-            let mut holder = Holder::new(Duration::ZERO, &name(entry), LENGTH * 2);
+            let mut holder = Holder::new(Duration::ZERO, &name(entry), RUN_TIME * 2);
             holder.first();
             holder.view(Duration::ZERO, ring.clone());
             (name(entry), holder)
         };
         let mut world = Self {
-            busy: BTreeMap::new(),
+            busy_seconds: BTreeMap::new(),
             case,
-            dead: BTreeSet::new(),
+            crashed: BTreeSet::new(),
             deployment,
             endpoints: (0..ENDPOINTS + 4)
                 .map(|e| (e, Endpoint::default()))
                 .collect(),
             events: BinaryHeap::new(),
             exchange,
-            good: 0.0,
+            good_work: 0.0,
             holders: (0..ENTRIES).map(holder).collect(),
             not_run: BTreeSet::new(),
             placed: BTreeMap::new(),
@@ -124,88 +132,88 @@
             ticking: BTreeSet::new(),
             times: Histogram::new(3).unwrap(),
         };
-        world.begin();
+        world.schedule_start();
         world
     }
 
-    pub fn run(mut self) -> Result {
-        while let Some(Reverse((now, _, happening))) = self.events.pop() {
-            self.happen(now, happening);
+    pub fn run(mut self) -> RunResult {
+        while let Some(Reverse((now, _, sim_event))) = self.events.pop() {
+            self.handle(now, sim_event);
         }
         let total = self.requests.iter().filter(|r| measured(r.at)).count() as f64;
         let capacity = f64::from(ENDPOINTS * u32::from(self.deployment.slots));
         let ran = |request: &&u64| self.runs.contains_key(*request);
-        Result {
-            double: self.runs.values().map(|runs| runs - 1).sum(),
-            false_not: self.not_run.iter().filter(ran).count().try_into().unwrap(),
-            free: self.refused[1] / total,
-            goodput: self.good / (LENGTH - WARM).as_secs_f64() / capacity,
-            imbalance: imbalance(&self.busy),
+        RunResult {
+            double_runs: self.runs.values().map(|runs| runs - 1).sum(),
+            false_not_run: self.not_run.iter().filter(ran).count().try_into().unwrap(),
+            goodput: self.good_work / (RUN_TIME - WARM_UP).as_secs_f64() / capacity,
+            imbalance: imbalance(&self.busy_seconds),
             refused: self.refused[0] / total,
+            refused_free: self.refused[1] / total,
+            refused_usable: self.refused[2] / total,
             shed: self.shed / total,
-            usable: self.refused[2] / total,
             times: self.times,
         }
     }
 
-    fn begin(&mut self) {
+    fn schedule_start(&mut self) {
         let arrivals: Vec<_> = (0..)
             .zip(&self.requests)
             .map(|(n, r)| (n, r.at, r.entry))
             .collect();
         for (request, at, entry) in arrivals {
-            self.at(at, Happening::Arrive { entry, request });
+            self.schedule(at, SimEvent::Arrive { entry, request });
         }
-        self.at(Duration::ZERO, Happening::Report);
-        self.at(Duration::ZERO, Happening::Exchange);
-        if self.case.death {
-            self.at(COLD, Happening::Die);
+        self.schedule(Duration::ZERO, SimEvent::Report);
+        self.schedule(Duration::ZERO, SimEvent::Exchange);
+        if self.case.crash {
+            self.schedule(FAULT_TIME, SimEvent::Crash);
         }
     }
 
-    pub(super) fn at(&mut self, at: Duration, happening: Happening) {
+    pub(super) fn schedule(&mut self, at: Duration, sim_event: SimEvent) {
         self.sequence += 1;
-        self.events.push(Reverse((at, self.sequence, happening)));
+        self.events.push(Reverse((at, self.sequence, sim_event)));
     }
 
-    fn happen(&mut self, now: Duration, happening: Happening) {
-        match happening {
-            Happening::Answer { entry, request } => self.answer(now, entry, request),
-            Happening::Arrive { entry, request } => self.arrive(now, entry, request),
-            Happening::Die => self.die(now),
-            Happening::Exchange => self.tell(now),
-            Happening::Finish {
+    fn handle(&mut self, now: Duration, sim_event: SimEvent) {
+        match sim_event {
+            SimEvent::Answer { entry, request } => self.answer(now, entry, request),
+            SimEvent::Arrive { entry, request } => self.arrive(now, entry, request),
+            SimEvent::Crash => self.crash(now),
+            SimEvent::Exchange => self.exchange_loads(now),
+            SimEvent::Finish {
                 endpoint,
                 request,
                 run,
             } => self.finish(now, endpoint, request, run),
-            Happening::Reach {
+            SimEvent::Deliver {
                 endpoint,
                 entry,
                 request,
             } => {
-                self.reach(now, endpoint, entry, request);
+                self.deliver(now, endpoint, entry, request);
             }
-            Happening::Report => self.report(now),
-            Happening::Shed { entry, request } => {
+            SimEvent::Report => self.report(now),
+            SimEvent::Shed { entry, request } => {
                 let ticket = Ticket(request);
                 let outcome = Outcome::Shed;
-                self.give(now, entry, Event::Ended { outcome, ticket });
+                self.pool_event(now, entry, Event::Ended { outcome, ticket });
             }
-            Happening::Tick { entry } => {
+            SimEvent::Tick { entry } => {
                 self.ticking.remove(&entry);
-                self.give(now, entry, Event::Tick);
+                self.pool_event(now, entry, Event::Tick);
             }
-            Happening::Told {
+            SimEvent::PeerLoad {
                 counts,
                 entry,
                 peer,
                 waiting,
             } => {
-                self.give(
+                self.pool_event(
                     now,
                     entry,
-                    Event::Peer {
+                    Event::PeerLoad {
                         counts,
                         peer,
                         waiting,
@@ -215,9 +223,9 @@
         }
     }
 
-    /// Gives an event to an entry's pool and carries out what it wants.
-    pub(super) fn give(&mut self, now: Duration, entry: u32, event: Event<u32>) {
-        if self.dead.contains(&entry) {
+    /// Passes an event to an entry's pool and performs the resulting actions.
+    pub(super) fn pool_event(&mut self, now: Duration, entry: u32, event: Event<u32>) {
+        if self.crashed.contains(&entry) {
             return;
         }
         let pool = &mut self.pools[entry as usize];
@@ -226,19 +234,19 @@
         if let Some(wake) = wake
             && self.ticking.insert(entry)
         {
-            self.at(wake, Happening::Tick { entry });
+            self.schedule(wake, SimEvent::Tick { entry });
         }
         for action in actions {
             match action {
                 Action::Place { key, ticket } => {
                     let request = ticket.0;
                     self.placed.insert(request, (entry, key));
-                    let reach = Happening::Reach {
+                    let deliver = SimEvent::Deliver {
                         endpoint: key,
                         entry,
                         request,
                     };
-                    self.at(now + self.deployment.hop, reach);
+                    self.schedule(now + self.deployment.hop, deliver);
                 }
                 Action::Refuse { ticket, .. } => self.refuse(now, entry, ticket.0),
             }
@@ -246,19 +254,19 @@
     }
 
     fn arrive(&mut self, now: Duration, entry: u32, request: u64) {
-        if self.dead.contains(&entry) {
+        if self.crashed.contains(&entry) {
             let entry = (entry + 1) % ENTRIES;
-            self.at(now + RESEND, Happening::Arrive { entry, request });
+            self.schedule(now + RESEND_DELAY, SimEvent::Arrive { entry, request });
             return;
         }
         let planned = self.requests[request as usize];
-        // An answer that is joined or kept costs no run; one that is unknown may not run again.
+        // Without a grant the request must not run: it is pending, answered, or may have run.
         if planned.keyed && self.claim(now, entry, request) != Verdict::Granted {
             return;
         }
         let deadline = planned.at + DEADLINE;
         let ticket = Ticket(request);
-        self.give(now, entry, Event::Arrived { deadline, ticket });
+        self.pool_event(now, entry, Event::Arrived { deadline, ticket });
     }
 
     fn claim(&mut self, now: Duration, entry: u32, request: u64) -> Verdict {
@@ -282,7 +290,7 @@
     }
 
     fn answer(&mut self, now: Duration, entry: u32, request: u64) {
-        if self.dead.contains(&entry) {
+        if self.crashed.contains(&entry) {
             return;
         }
         let planned = self.requests[request as usize];
@@ -291,8 +299,8 @@
             self.times
                 .record(time.as_micros().try_into().unwrap())
                 .unwrap();
-            let good = time <= DEADLINE;
-            self.good += if good {
+            let in_time = time <= DEADLINE;
+            self.good_work += if in_time {
                 planned.work.as_secs_f64()
             } else {
                 0.0
@@ -303,7 +311,7 @@
             self.settle(entry, request, &Settled::Answered(None));
         }
         let (outcome, ticket) = (Outcome::Answered, Ticket(request));
-        self.give(now, entry, Event::Ended { outcome, ticket });
+        self.pool_event(now, entry, Event::Ended { outcome, ticket });
     }
 
     fn refuse(&mut self, now: Duration, entry: u32, request: u64) {
@@ -314,69 +322,72 @@
         }
         if measured(now) {
             let (slots, hop) = (self.deployment.slots, self.deployment.hop);
-            let free = |time| {
+            let slot_free = |time| {
                 let mut serving = serving(&self.case, now);
                 serving.any(|endpoint| self.endpoints[&endpoint].idle(now, slots, time))
             };
-            let (any, usable) = (free(Duration::ZERO), free(hop * 2));
+            let (any, long) = (slot_free(Duration::ZERO), slot_free(hop * 2));
             self.refused[0] += 1.0;
             self.refused[1] += f64::from(u8::from(any));
-            self.refused[2] += f64::from(u8::from(usable));
+            self.refused[2] += f64::from(u8::from(long));
         }
     }
 
-    /// An entry dies: what it sent is cancelled, and its callers send again if they have a key.
-    fn die(&mut self, now: Duration) {
-        self.dead.insert(VICTIM);
-        self.holders.remove(&name(VICTIM));
+    /// Crashes an entry: its requests are cancelled, and clients resend those with a key.
+    fn crash(&mut self, now: Duration) {
+        self.crashed.insert(CRASHED_ENTRY);
+        self.holders.remove(&name(CRASHED_ENTRY));
         let members: Vec<_> = self.ring.members().cloned().collect();
         let left = members
             .into_iter()
-            .filter(|member| member.name != name(VICTIM));
+            .filter(|member| member.name != name(CRASHED_ENTRY));
         self.ring = self.ring.with_members(left);
         for holder in self.holders.values_mut() {
             holder.view(now, self.ring.clone());
         }
-        let lost: Vec<_> = self
+        let cancelled: Vec<_> = self
             .placed
             .iter()
-            .filter(|(_, (entry, _))| *entry == VICTIM)
+            .filter(|(_, (entry, _))| *entry == CRASHED_ENTRY)
             .map(|(request, (_, endpoint))| (*request, *endpoint))
             .collect();
-        for (request, endpoint) in lost {
+        for (request, endpoint) in cancelled {
             self.placed.remove(&request);
             let server = self.endpoints.get_mut(&endpoint).unwrap();
             server.end(now, request, self.deployment.slots);
             server.waiting.retain(|waiting| *waiting != request);
-            self.next(now, endpoint);
+            self.start_next(now, endpoint);
             if self.requests[request as usize].keyed {
-                let entry = VICTIM + 1;
-                self.at(now + RESEND, Happening::Arrive { entry, request });
+                let entry = CRASHED_ENTRY + 1;
+                self.schedule(now + RESEND_DELAY, SimEvent::Arrive { entry, request });
             }
         }
     }
 
-    fn tell(&mut self, now: Duration) {
-        if !self.exchange || now > LENGTH {
+    fn exchange_loads(&mut self, now: Duration) {
+        if !self.exchange || now > RUN_TIME {
             return;
         }
-        let dead = self.dead.clone();
-        for peer in (0..ENTRIES).filter(|entry| !dead.contains(entry)) {
+        let crashed = self.crashed.clone();
+        for peer in (0..ENTRIES).filter(|entry| !crashed.contains(entry)) {
             let pool = &self.pools[peer as usize];
-            let counts: Vec<_> = pool.counts().filter(|(_, count)| *count > 0).collect();
+            let counts: Vec<_> = pool
+                .running_counts()
+                .filter(|(_, count)| *count > 0)
+                .collect();
             let waiting = pool.waiting().try_into().unwrap();
             for entry in (0..ENTRIES).filter(|entry| *entry != peer) {
                 let counts = counts.clone();
-                let told = Happening::Told {
+                let load = SimEvent::PeerLoad {
                     counts,
                     entry,
                     peer,
                     waiting,
                 };
-                self.at(now + self.deployment.hop, told);
+                self.schedule(now + self.deployment.hop, load);
             }
         }
-        self.at(now + EXCHANGE, Happening::Exchange);
+        self.schedule(now + EXCHANGE_INTERVAL, SimEvent::Exchange);
     }
 }
 
@@ -396,7 +407,7 @@
 }
 
 pub(super) fn measured(at: Duration) -> bool {
-    at > WARM && at < LENGTH
+    at > WARM_UP && at < RUN_TIME
 }
 
 fn name(entry: u32) -> Box<str> {
--- a/crates/dispatch/benches/sim/omniscient.rs
+++ b/crates/dispatch/benches/sim/single_queue.rs
@@ -1,4 +1,4 @@
-//! One queue that knows every slot at every moment.
+//! The ideal that policies are compared with: one queue with exact knowledge of every slot.
 
 use std::{
     cmp::Reverse,
@@ -13,25 +13,26 @@
 use hdrhistogram::Histogram;
 
 use super::{
-    Case, DEADLINE, Deployment, ENDPOINTS, LENGTH, Result, WARM, WINDOW, WORK, imbalance,
+    Case, DEADLINE, Deployment, ENDPOINTS, MEAN_WORK, RUN_TIME, RunResult, WARM_UP, WINDOW,
+    imbalance,
     plan::{
-        Planned,
-        factor,
+        PlannedRequest,
         plan,
-        serving, //
+        serving,
+        slowdown, //
     },
 };
 
-/// Runs a single queue in order of arrival that gives each request to the endpoint with the most
-/// free slots, those of ordinary speed first, at the cost of one way there and back.
-pub fn omniscient(deployment: &Deployment, case: &Case, seed: u64) -> Result {
+/// Runs a single first-in, first-out queue. It sends each request to the endpoint with the most
+/// free slots, endpoints of normal speed first; a request costs one round trip.
+pub fn single_queue(deployment: &Deployment, case: &Case, seed: u64) -> RunResult {
     let requests = plan(deployment, case, seed);
     let mut ends: BinaryHeap<Reverse<(Duration, u32)>> = BinaryHeap::new();
     let mut free: BTreeMap<u32, u16> = (0..ENDPOINTS + 4).map(|e| (e, deployment.slots)).collect();
-    let mut queue: VecDeque<Planned> = VecDeque::new();
-    let mut busy: BTreeMap<u64, BTreeMap<u32, f64>> = BTreeMap::new();
+    let mut queue: VecDeque<PlannedRequest> = VecDeque::new();
+    let mut busy_seconds: BTreeMap<u64, BTreeMap<u32, f64>> = BTreeMap::new();
     let mut times = Histogram::new(3).unwrap();
-    let (mut good, mut total, mut late) = (0.0, 0.0, 0.0);
+    let (mut good_work, mut total, mut late) = (0.0, 0.0, 0.0);
     let mut arrivals = requests.into_iter().peekable();
     loop {
         let arrival = arrivals.peek().map(|request| request.at);
@@ -57,24 +58,24 @@
             }
             let Some(endpoint) = serving(case, now)
                 .filter(|endpoint| free[endpoint] > 0)
-                .max_by_key(|e| (factor(case, *e, now) < 1.5, free[e], Reverse(*e)))
+                .max_by_key(|e| (slowdown(case, *e, now) < 1.5, free[e], Reverse(*e)))
             else {
                 break;
             };
             queue.pop_front();
             *free.get_mut(&endpoint).unwrap() -= 1;
-            let work = request.work.mul_f64(factor(case, endpoint, now));
+            let work = request.work.mul_f64(slowdown(case, endpoint, now));
             ends.push(Reverse((now + work, endpoint)));
             total += 1.0;
-            if now > WARM && now < LENGTH {
-                let window = ((now - WARM).as_millis() / WINDOW.as_millis())
+            if now > WARM_UP && now < RUN_TIME {
+                let window = ((now - WARM_UP).as_millis() / WINDOW.as_millis())
                     .try_into()
                     .unwrap();
-                let shares = busy.entry(window).or_default();
+                let shares = busy_seconds.entry(window).or_default();
                 *shares.entry(endpoint).or_default() += work.as_secs_f64();
                 let time = now + work + deployment.hop * 2 - request.at;
                 times.record(time.as_micros().try_into().unwrap()).unwrap();
-                good += if time <= DEADLINE {
+                good_work += if time <= DEADLINE {
                     request.work.as_secs_f64()
                 } else {
                     0.0
@@ -83,16 +84,16 @@
         }
     }
     let capacity = f64::from(ENDPOINTS * u32::from(deployment.slots));
-    let _mean = WORK;
-    Result {
-        double: 0,
-        false_not: 0,
-        free: 0.0,
-        goodput: good / (LENGTH - WARM).as_secs_f64() / capacity,
-        imbalance: imbalance(&busy),
+    let _mean = MEAN_WORK;
+    RunResult {
+        double_runs: 0,
+        false_not_run: 0,
+        goodput: good_work / (RUN_TIME - WARM_UP).as_secs_f64() / capacity,
+        imbalance: imbalance(&busy_seconds),
         refused: late / total,
+        refused_free: 0.0,
+        refused_usable: 0.0,
         shed: 0.0,
         times,
-        usable: 0.0,
     }
 }
--- a/crates/dispatch/src/action.rs
+++ b/crates/dispatch/src/action.rs
@@ -1,4 +1,4 @@
-//! What a pool wants done.
+//! Actions that a pool requests.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::ticket::Ticket;
 
-/// What a pool wants done with a request.
+/// An action on a request, for the pool's owner to perform.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action<K> {
     /// Send the request to this endpoint.
@@ -16,11 +16,11 @@
         /// The request.
         ticket: Ticket,
     },
-    /// Answer the request now with this code; it did not run.
+    /// Reject the request with this code; it did not run.
     Refuse {
-        /// Time after which the caller may come back.
+        /// Time after which the client may retry.
         after: Duration,
-        /// Why.
+        /// The reason.
         code: Code,
         /// The request.
         ticket: Ticket,
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,9 +1,9 @@
-//! The share of requests that may be sent again.
+//! Retry budgets.
 
-/// Most retries that can be saved up.
+/// Most retries that a budget accumulates.
 const MAX_TOKENS: f64 = 50.0;
 
-/// A token bucket that new requests fill and retries empty.
+/// A token bucket that new requests fill and retries drain.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     tokens: f64,
@@ -15,19 +15,19 @@
         Self { tokens: MAX_TOKENS }
     }
 
-    /// Takes note of a new request that earns `percent` hundredths of a retry.
-    pub fn earn(&mut self, percent: u32) {
+    /// Adds `percent` hundredths of a retry for a new request.
+    pub fn deposit(&mut self, percent: u32) {
         self.tokens = (self.tokens + f64::from(percent) / 100.0).min(MAX_TOKENS);
     }
 
-    /// Whether a retry is left.
-    pub const fn any(&self) -> bool {
+    /// Whether the budget allows a retry.
+    pub const fn available(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes one retry out, if there is one.
-    pub fn take(&mut self) -> bool {
-        let enough = self.any();
+    /// Withdraws one retry; returns whether there was one.
+    pub fn withdraw(&mut self) -> bool {
+        let enough = self.available();
         if enough {
             self.tokens -= 1.0;
         }
--- a/crates/dispatch/src/candidate.rs
+++ b/crates/dispatch/src/candidate.rs
@@ -1,12 +1,12 @@
-//! An endpoint that may take requests.
+//! Endpoints that accept requests.
 
-/// An endpoint that may take requests, as it was last reported.
+/// An endpoint that accepts requests, as last reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate<K> {
     /// Key of the endpoint.
     pub key: K,
-    /// Share of its capacity in use: 0 idle, 1 full.
+    /// Reported load, as a share of its capacity: 0 is idle, 1 is full.
     pub reported: f32,
-    /// Requests that it can work on at once.
+    /// Requests that it can run concurrently.
     pub slots: u16,
 }
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -1,4 +1,4 @@
-//! What a pool is told.
+//! Events that a pool handles.
 
 use std::time::Duration;
 
@@ -8,34 +8,34 @@
     ticket::Ticket, //
 };
 
-/// What a pool is told.
+/// An event that a pool handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<K> {
     /// A request arrived.
     Arrived {
-        /// Time by which its caller wants the answer.
+        /// Time by which the client needs the answer.
         deadline: Duration,
         /// The request.
         ticket: Ticket,
     },
     /// A placed request ended.
     Ended {
-        /// How.
+        /// How it ended.
         outcome: Outcome,
         /// The request.
         ticket: Ticket,
     },
-    /// These endpoints, and no others, may serve now.
+    /// The endpoints that accept requests now, as a complete list.
     Endpoints(Vec<Candidate<K>>),
-    /// The caller of a request left, or its answer is no longer wanted.
+    /// A request was cancelled: its client disconnected, or its answer is no longer needed.
     Left(Ticket),
-    /// Another entry told how many requests it has at each endpoint.
-    Peer {
-        /// Its requests at each endpoint where it has any.
+    /// Another entry reported how many requests it runs at each endpoint.
+    PeerLoad {
+        /// Its running requests by endpoint; endpoints without any may be left out.
         counts: Vec<(K, u16)>,
         /// Number of the other entry.
         peer: u32,
-        /// Its requests that wait.
+        /// Number of its waiting requests.
         waiting: u32,
     },
     /// Time has passed.
--- a/crates/dispatch/src/holder.rs
+++ b/crates/dispatch/src/holder.rs
@@ -1,4 +1,4 @@
-//! The claims that an entry holds.
+//! Storage of the claims that an entry holds.
 
 use std::{
     collections::{
@@ -21,17 +21,18 @@
     ring::Ring, //
 };
 
-/// Time within which the instances' views of a changed membership become equal.
+/// Time within which all instances agree on a changed membership.
 const CONVERGENCE: Duration = Duration::from_secs(10);
 
-/// Most claims that are held.
+/// Most claims that are stored.
 const MAX_CLAIMS: usize = 100_000;
 
-/// Most bytes of answers that are kept.
+/// Most bytes of stored answers.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// Most views of the membership that are remembered; older ones count as never seen.
-const MAX_VIEWS: usize = 64;
+/// Most past memberships that are stored. Dropping an older one loses the record of which keys were
+/// held then, so the holder counts as newly started.
+const MAX_RINGS: usize = 64;
 
 #[derive(Clone, Debug)]
 struct Held {
@@ -41,101 +42,105 @@
     until: Duration,
 }
 
-/// The claims that an entry holds, and what it cannot know.
+/// The claims that an entry holds.
 ///
 /// A holder grants a claim only for a key that it has held for the whole retention time, or whose
-/// claims both of the other holders handed over. For all others it replies that it does not know.
+/// claims both of the other holders transferred to it. For other keys it replies
+/// [`Reply::Unknown`].
 #[derive(Clone, Debug)]
 pub struct Holder {
     bytes: usize,
     claims: BTreeMap<KeyHash, Held>,
     expiry: BTreeSet<(Duration, KeyHash)>,
-    givers: BTreeSet<Box<str>>,
+    name: Box<str>,
     origin: Option<Duration>,
-    own: Box<str>,
     retention: Duration,
-    views: Vec<(Duration, Ring)>,
+    rings: Vec<(Duration, Ring)>,
+    sources: BTreeSet<Box<str>>,
 }
 
 impl Holder {
-    /// Creates the holder of the entry `own`, started at `now`, that keeps claims and answers for
-    /// `retention`. It may have missed all earlier claims.
-    pub fn new(now: Duration, own: &str, retention: Duration) -> Self {
+    /// Creates the holder of the entry `name`, started at `now`, that retains claims and answers
+    /// for `retention`. It is assumed to have missed all earlier claims.
+    pub fn new(now: Duration, name: &str, retention: Duration) -> Self {
         Self {
             bytes: 0,
             claims: BTreeMap::new(),
             expiry: BTreeSet::new(),
-            givers: BTreeSet::new(),
+            name: name.into(),
             origin: Some(now),
-            own: own.into(),
             retention,
-            views: Vec::new(),
+            rings: Vec::new(),
+            sources: BTreeSet::new(),
         }
     }
 
-    /// Takes note that no request can have run before this holder was created.
+    /// Records that no request ran before this holder was created, so that it missed no claim.
     pub const fn first(&mut self) {
         self.origin = None;
     }
 
-    /// Sets how long later claims and their answers are kept.
+    /// Sets how long later claims and their answers are retained.
     pub const fn retain(&mut self, retention: Duration) {
         self.retention = retention;
     }
 
-    /// Takes in the members; returns whether they have changed.
+    /// Sets the present members; returns whether they have changed.
     pub fn view(&mut self, now: Duration, ring: Ring) -> bool {
-        if self.views.last().is_some_and(|(_, last)| *last == ring) {
+        if self.rings.last().is_some_and(|(_, last)| *last == ring) {
             return false;
         }
-        self.givers.clear();
-        self.views.push((now, ring));
-        if self.views.len() > MAX_VIEWS {
-            self.views.remove(0);
+        self.sources.clear();
+        self.rings.push((now, ring));
+        if self.rings.len() > MAX_RINGS {
+            self.rings.remove(0);
             self.origin = Some(now);
         }
         true
     }
 
-    /// Whether claims may be taken over from other holders now: the membership has been the same
-    /// for long enough, and something is unknown to this holder.
+    /// Whether claims should be transferred from other holders now: the membership has been stable
+    /// for long enough, and this holder may lack claims.
     pub fn wants(&self, now: Duration) -> bool {
-        let since = self.views.last().map(|(since, _)| *since);
+        let since = self.rings.last().map(|(since, _)| *since);
         let stable = since.is_some_and(|since| now.saturating_sub(since) >= CONVERGENCE);
         stable && !self.settled(now)
     }
 
-    /// Whether this holder knows all claims on all its keys.
+    /// Whether this holder has all claims on all its keys.
     pub fn settled(&self, now: Duration) -> bool {
-        let Some((_, last)) = self.views.last() else {
+        let Some((_, last)) = self.rings.last() else {
             return false;
         };
-        let Some(own) = last.member(&self.own) else {
+        let Some(member) = last.member(&self.name) else {
             return false;
         };
-        !self.fresh(now) && self.recent(now).all(|ring| last.narrows(ring, &own.centre))
+        !self.recently_started(now)
+            && self
+                .recent_rings(now)
+                .all(|ring| last.holds_subset(ring, &member.centre))
     }
 
-    /// Takes over the claims of another holder that knows all claims on its keys.
-    pub fn take(&mut self, now: Duration, giver: &str, records: Vec<Record>) {
+    /// Adds the claims of another holder that has all claims on its keys.
+    pub fn take(&mut self, now: Duration, source: &str, records: Vec<Record>) {
         for record in records {
             let made = now.saturating_sub(Duration::from_millis(record.age));
             if !self.claims.contains_key(&record.claim.key) && self.claims.len() < MAX_CLAIMS {
                 self.insert(record.claim, made, record.settled);
             }
         }
-        self.givers.insert(giver.into());
-        let Some((since, last)) = self.views.last() else {
+        self.sources.insert(source.into());
+        let Some((since, last)) = self.rings.last() else {
             return;
         };
-        let given = |name: &str| name == &*self.own || self.givers.contains(name);
-        if last.members().all(|member| given(&member.name)) {
-            self.views = vec![(*since, last.clone())];
+        let transferred = |name: &str| name == &*self.name || self.sources.contains(name);
+        if last.members().all(|member| transferred(&member.name)) {
+            self.rings = vec![(*since, last.clone())];
             self.origin = None;
         }
     }
 
-    /// All claims, for a new holder; none if this holder does not know all claims on its keys.
+    /// All claims, for a new holder; none if this holder may lack claims on its keys.
     pub fn records(&self, now: Duration) -> Option<Vec<Record>> {
         let record = |held: &Held| Record {
             age: u64::try_from(now.saturating_sub(held.made).as_millis()).unwrap_or(u64::MAX),
@@ -152,20 +157,20 @@
     /// Replies to a claim.
     pub fn claim(&mut self, now: Duration, claim: Claim) -> Reply {
         self.expire(now);
-        let known = self.knows(now, &claim.key);
+        let complete = self.has_all_claims(now, &claim.key);
         match self.claims.get(&claim.key) {
             Some(held) if held.claim.print != claim.print => Reply::Mismatch,
             Some(held) => match &held.settled {
                 Some(Settled::Answered(answer)) => Reply::Answered(answer.clone()),
                 Some(Settled::NotRun | Settled::Unknown) => Reply::Unknown,
-                None if held.claim.id == claim.id && known => Reply::Granted,
+                None if held.claim.id == claim.id && complete => Reply::Granted,
                 None if held.claim.id == claim.id => Reply::Unknown,
                 None => Reply::Held(held.claim.id.clone()),
             },
             None if self.claims.len() >= MAX_CLAIMS => Reply::Full,
             None => {
                 self.insert(claim, now, None);
-                if known {
+                if complete {
                     Reply::Granted
                 } else {
                     Reply::Unknown
@@ -174,7 +179,7 @@
         }
     }
 
-    /// Takes in how the request of a claim ended.
+    /// Records how the request of a claim ended.
     pub fn settle(&mut self, key: &KeyHash, id: &ClaimId, settled: Settled) {
         let Some(held) = self.claims.get_mut(key) else {
             return;
@@ -192,63 +197,65 @@
             }
             Settled::Answered(_) | Settled::Unknown => settled,
         };
-        self.bytes =
-            self.bytes.saturating_sub(length(held.settled.as_ref())) + length(Some(&settled));
+        self.bytes = self
+            .bytes
+            .saturating_sub(answer_bytes(held.settled.as_ref()))
+            + answer_bytes(Some(&settled));
         held.settled = Some(settled);
     }
 
-    /// Number of claims that are held.
+    /// Number of stored claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether no claim is held.
+    /// Whether no claim is stored.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Whether this holder cannot have missed a claim on the key.
-    fn knows(&self, now: Duration, key: &KeyHash) -> bool {
-        let Some((_, last)) = self.views.last() else {
+    /// Whether this holder has every earlier claim on the key.
+    fn has_all_claims(&self, now: Duration, key: &KeyHash) -> bool {
+        let Some((_, last)) = self.rings.last() else {
             return false;
         };
         let holds = |ring: &Ring| {
             ring.holders(key)
                 .iter()
-                .any(|holder| holder.name == self.own)
+                .any(|holder| holder.name == self.name)
         };
         if !holds(last) {
             return false;
         }
-        let held = !self.fresh(now) && self.recent(now).all(holds);
+        let held = !self.recently_started(now) && self.recent_rings(now).all(holds);
         let mut others = last.holders(key);
-        others.retain(|holder| holder.name != self.own);
-        let given = others.len() >= last.others()
+        others.retain(|holder| holder.name != self.name);
+        let transferred = others.len() >= last.required_sources()
             && others
                 .iter()
-                .all(|holder| self.givers.contains(&holder.name));
-        held || given
+                .all(|holder| self.sources.contains(&holder.name));
+        held || transferred
     }
 
     /// Whether the process started so recently that it may have missed claims.
-    fn fresh(&self, now: Duration) -> bool {
+    fn recently_started(&self, now: Duration) -> bool {
         let window = self.retention + CONVERGENCE;
         self.origin
             .is_some_and(|origin| now.saturating_sub(origin) < window)
     }
 
-    /// The views that ended within the time that an earlier claim may still be of, and the last.
-    fn recent(&self, now: Duration) -> impl Iterator<Item = &Ring> {
+    /// The rings that were in use within the retention time, the last one included.
+    fn recent_rings(&self, now: Duration) -> impl Iterator<Item = &Ring> {
         let window = self.retention + CONVERGENCE;
-        let ends = self.views.iter().skip(1).map(|(since, _)| *since);
-        self.views
+        let ends = self.rings.iter().skip(1).map(|(since, _)| *since);
+        self.rings
             .iter()
             .zip(ends.chain([now]))
             .filter(move |(_, end)| now.saturating_sub(*end) < window)
             .map(|((_, ring), _)| ring)
     }
 
-    /// Forgets claims after the retention time.
+    /// Removes claims and rings that are older than the retention time.
     fn expire(&mut self, now: Duration) {
         while let Some((until, key)) = self.expiry.first().cloned()
             && until <= now
@@ -256,10 +263,10 @@
             self.remove(&key);
         }
         let window = self.retention + CONVERGENCE;
-        while let [_, (second, _), ..] = self.views.as_slice()
+        while let [_, (second, _), ..] = self.rings.as_slice()
             && now.saturating_sub(*second) >= window
         {
-            self.views.remove(0);
+            self.rings.remove(0);
         }
     }
 
@@ -278,14 +285,16 @@
 
     fn remove(&mut self, key: &KeyHash) {
         if let Some(held) = self.claims.remove(key) {
-            self.bytes = self.bytes.saturating_sub(length(held.settled.as_ref()));
+            self.bytes = self
+                .bytes
+                .saturating_sub(answer_bytes(held.settled.as_ref()));
             self.expiry.remove(&(held.until, key.clone()));
         }
     }
 }
 
-/// Bytes that a kept answer takes.
-fn length(settled: Option<&Settled>) -> usize {
+/// Size of a stored answer in bytes.
+fn answer_bytes(settled: Option<&Settled>) -> usize {
     let answer: Option<&Rc<[u8]>> = match settled {
         Some(Settled::Answered(Some(answer))) => Some(answer),
         Some(Settled::Answered(None) | Settled::NotRun | Settled::Unknown) | None => None,
--- a/crates/dispatch/src/leased.rs
+++ b/crates/dispatch/src/leased_slots.rs
@@ -1,4 +1,4 @@
-//! Slots divided among the entries.
+//! A policy that divides the slots among the entries.
 
 use std::{
     collections::BTreeMap,
@@ -7,19 +7,20 @@
 };
 
 use crate::{
-    policy::Policy,
-    view::View, //
+    endpoint_view::EndpointView,
+    policy::Policy, //
 };
 
-/// Slots divided among the entries by their last known demand; an entry uses its own share only.
+/// Divides the slots among the entries by their last known demand; an entry uses its own share
+/// only.
 #[derive(Clone, Debug)]
-pub struct Leased<K> {
+pub struct LeasedSlots<K> {
     demands: BTreeMap<u32, u32>,
     keys: PhantomData<K>,
     own: u32,
 }
 
-impl<K> Leased<K> {
+impl<K> LeasedSlots<K> {
     /// Creates the policy of the entry `own` among `entries`.
     pub fn new(own: u32, entries: u32) -> Self {
         Self {
@@ -29,24 +30,24 @@
         }
     }
 
-    /// First and last slot of this entry's share of `slots`, as positions in the order of all.
+    /// This entry's share of `slots`: its first position and the one after its last.
     fn share(&self, slots: u32) -> (u32, u32) {
         let weight = |demand: &u32| demand + 1;
         let total: u32 = self.demands.values().map(weight).sum();
         let before: u32 = self.demands.range(..self.own).map(|(_, d)| weight(d)).sum();
         let own = self.demands.get(&self.own).map(weight).unwrap_or_default();
-        let place = |part: u32| (part * slots).checked_div(total).unwrap_or_default();
-        (place(before), place(before + own))
+        let boundary = |part: u32| (part * slots).checked_div(total).unwrap_or_default();
+        (boundary(before), boundary(before + own))
     }
 }
 
-impl<K: Copy + Debug + Ord> Policy for Leased<K> {
+impl<K: Copy + Debug + Ord> Policy for LeasedSlots<K> {
     type Key = K;
 
-    fn choose(&mut self, views: &[View<K>]) -> Option<K> {
+    fn choose(&mut self, views: &[EndpointView<K>]) -> Option<K> {
         let slots = views.iter().map(|view| u32::from(view.slots)).sum();
-        let (first, last) = self.share(slots);
-        let mut at = 0;
+        let (first, end) = self.share(slots);
+        let mut position = 0;
         let mut free = Vec::new();
         for round in 0..views
             .iter()
@@ -55,10 +56,10 @@
             .unwrap_or_default()
         {
             for view in views.iter().filter(|view| view.slots > round) {
-                if (first..last).contains(&at) {
+                if (first..end).contains(&position) {
                     free.push(view);
                 }
-                at += 1;
+                position += 1;
             }
         }
         let leased = |key| free.iter().filter(|view| view.key == key).count();
@@ -68,7 +69,7 @@
             .map(|view| view.key)
     }
 
-    fn demand(&mut self, peer: Option<u32>, requests: u32) {
+    fn record_demand(&mut self, peer: Option<u32>, requests: u32) {
         self.demands.insert(peer.unwrap_or(self.own), requests);
     }
 }
--- a/crates/dispatch/src/reported.rs
+++ b/crates/dispatch/src/least_reported.rs
@@ -1,4 +1,4 @@
-//! The endpoint with the lowest reported load.
+//! A policy that selects the endpoint with the lowest reported load.
 
 use std::{
     fmt::Debug,
@@ -12,19 +12,19 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    policy::Policy,
-    view::View, //
+    endpoint_view::EndpointView,
+    policy::Policy, //
 };
 
-/// The endpoint with the lowest reported load; equal ones are drawn at random.
+/// Selects the endpoint with the lowest reported load; ties are broken at random.
 #[derive(Clone, Debug)]
-pub struct Reported<K> {
+pub struct LeastReported<K> {
     keys: PhantomData<K>,
     random: ChaCha8Rng,
 }
 
-impl<K> Reported<K> {
-    /// Creates the policy with a seed for its choices.
+impl<K> LeastReported<K> {
+    /// Creates the policy with a seed for its random choices.
     pub fn new(seed: u64) -> Self {
         Self {
             keys: PhantomData,
@@ -33,10 +33,10 @@
     }
 }
 
-impl<K: Copy + Debug + Ord> Policy for Reported<K> {
+impl<K: Copy + Debug + Ord> Policy for LeastReported<K> {
     type Key = K;
 
-    fn choose(&mut self, views: &[View<K>]) -> Option<K> {
+    fn choose(&mut self, views: &[EndpointView<K>]) -> Option<K> {
         let random = &mut self.random;
         views
             .iter()
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,26 +1,27 @@
 //! Admission, limits, placement, retries and at-most-once claims of requests.
 //!
-//! [`Pool`] places the requests of one service; a [`Policy`] chooses among its endpoints.
-//! [`Holder`] keeps the claims on idempotency keys, and [`Vote`] counts the holders' replies.
+//! [`Pool`] queues and places the requests of one service; a [`Policy`] selects the endpoint.
+//! [`Holder`] stores claims on idempotency keys, and [`Vote`] counts the holders' replies. An entry
+//! is an instance that accepts client requests.
 
 mod action;
 mod budget;
 mod candidate;
 mod claim;
+mod endpoint_state;
+mod endpoint_view;
 mod event;
 mod holder;
-mod leased;
+mod leased_slots;
+mod least_reported;
 mod limits;
-mod load;
 mod observed;
 mod outcome;
 mod policy;
 mod pool;
-mod reported;
 mod ring;
 mod ticket;
 mod two_choices;
-mod view;
 mod vote;
 
 pub use crate::{
@@ -34,22 +35,22 @@
         Reply,
         Settled, //
     },
+    endpoint_view::EndpointView,
     event::Event,
     holder::Holder,
-    leased::Leased,
+    leased_slots::LeasedSlots,
+    least_reported::LeastReported,
     limits::Limits,
     observed::Observed,
     outcome::Outcome,
     policy::Policy,
     pool::Pool,
-    reported::Reported,
     ring::{
         Member,
         Ring, //
     },
     ticket::Ticket,
     two_choices::TwoChoices,
-    view::View,
     vote::{
         Verdict,
         Vote, //
--- a/crates/dispatch/src/limits.rs
+++ b/crates/dispatch/src/limits.rs
@@ -5,18 +5,18 @@
 /// Limits of a service at one entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Most attempts of one request, the first among them.
+    /// Most attempts of one request, including the first.
     pub attempts: u32,
-    /// Retries in a hundred requests.
-    pub percent: u32,
-    /// Most requests that wait.
+    /// Most waiting requests.
     pub queue: usize,
-    /// Most requests that run at once.
+    /// Retries as a percentage of requests.
+    pub retry_percent: u32,
+    /// Most requests that run concurrently.
     pub running: usize,
+    /// Duration of a new endpoint's slow start.
+    pub slow_start: Duration,
     /// Longest time that a request waits for a slot.
     pub wait: Duration,
-    /// Time over which a new endpoint is brought up to its full share.
-    pub warm_up: Duration,
 }
 
 impl Limits {
@@ -24,42 +24,43 @@
     pub const fn new() -> Self {
         Self {
             attempts: 3,
-            percent: 20,
             queue: 64,
+            retry_percent: 20,
             running: 4096,
+            slow_start: Duration::from_secs(5),
             wait: Duration::from_millis(500),
-            warm_up: Duration::from_secs(5),
         }
     }
 
-    /// Sets how often a request that could not be sent is tried again.
-    pub const fn with_retry(mut self, attempts: u32, percent: u32) -> Self {
+    /// Sets the attempts per request and the retries as a percentage of requests, for requests that
+    /// could not be sent.
+    pub const fn with_retry(mut self, attempts: u32, retry_percent: u32) -> Self {
         self.attempts = attempts;
-        self.percent = percent;
+        self.retry_percent = retry_percent;
         self
     }
 
-    /// Sets how many requests may wait.
+    /// Sets the maximum number of waiting requests.
     pub const fn with_queue(mut self, queue: usize) -> Self {
         self.queue = queue;
         self
     }
 
-    /// Sets how many requests may run at once.
+    /// Sets the maximum number of requests that run concurrently.
     pub const fn with_running(mut self, running: usize) -> Self {
         self.running = running;
         self
     }
 
-    /// Sets how long a request waits.
+    /// Sets the longest time that a request waits for a slot.
     pub const fn with_wait(mut self, wait: Duration) -> Self {
         self.wait = wait;
         self
     }
 
-    /// Sets the time of the slow start.
-    pub const fn with_warm_up(mut self, warm_up: Duration) -> Self {
-        self.warm_up = warm_up;
+    /// Sets the duration of a new endpoint's slow start.
+    pub const fn with_warm_up(mut self, slow_start: Duration) -> Self {
+        self.slow_start = slow_start;
         self
     }
 }
--- a/crates/dispatch/src/observed.rs
+++ b/crates/dispatch/src/observed.rs
@@ -1,4 +1,4 @@
-//! The endpoint with the lowest load by what entries see themselves.
+//! A policy that selects the endpoint with the fewest requests per slot.
 
 use std::{
     cmp::Ordering,
@@ -13,39 +13,41 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    policy::Policy,
-    view::View, //
+    endpoint_view::EndpointView,
+    policy::Policy, //
 };
 
-/// The endpoint with the lowest load by what this entry sees and what its peers said they have
-/// there. A request that finds no free slot waits; one that an endpoint refuses as full is
-/// placed again, so that the request itself is the probe. Reports decide between equals only.
+/// Selects the endpoint with the fewest requests per slot, counting those of this entry and those
+/// that its peers reported. A request that finds no free slot waits. One that an endpoint refuses
+/// as full is placed again, so that the request itself is the probe. Ties are broken at random;
+/// reported loads are not used. Ties are broken at random;
+/// reported loads are not used.
 #[derive(Clone, Debug)]
 pub struct Observed<K> {
     keys: PhantomData<K>,
     random: ChaCha8Rng,
 }
 
-/// What endpoints are compared by; the lowest is chosen.
+/// Sort key of an endpoint; the lowest is selected.
 #[derive(Clone, Copy, Debug)]
 struct Rank {
-    draw: u32,
     load: f32,
+    recently_shed: bool,
     slow: bool,
-    taken: bool,
+    tie_breaker: u32,
 }
 
 impl Rank {
     fn compare(&self, other: &Self) -> Ordering {
         (self.slow.cmp(&other.slow))
-            .then(self.taken.cmp(&other.taken))
+            .then(self.recently_shed.cmp(&other.recently_shed))
             .then(self.load.total_cmp(&other.load))
-            .then(self.draw.cmp(&other.draw))
+            .then(self.tie_breaker.cmp(&other.tie_breaker))
     }
 }
 
 impl<K> Observed<K> {
-    /// Creates the policy with a seed for its choices.
+    /// Creates the policy with a seed for its random choices.
     pub fn new(seed: u64) -> Self {
         Self {
             keys: PhantomData,
@@ -57,18 +59,18 @@
 impl<K: Copy + Debug + Ord> Policy for Observed<K> {
     type Key = K;
 
-    fn choose(&mut self, views: &[View<K>]) -> Option<K> {
+    fn choose(&mut self, views: &[EndpointView<K>]) -> Option<K> {
         let random = &mut self.random;
         views
             .iter()
             .filter(|view| !view.full && view.running < view.slots)
             .map(|view| {
-                let busy = view.running.saturating_add(view.others);
+                let busy = view.running.saturating_add(view.peers);
                 let rank = Rank {
-                    draw: random.random(),
                     load: f32::from(busy) / f32::from(view.slots.max(1)),
+                    recently_shed: view.recently_shed,
                     slow: view.slow,
-                    taken: view.taken,
+                    tie_breaker: random.random(),
                 };
                 (rank, view.key)
             })
--- a/crates/dispatch/src/outcome.rs
+++ b/crates/dispatch/src/outcome.rs
@@ -3,12 +3,12 @@
 /// How a placed request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The endpoint's answer arrived whole.
+    /// The endpoint's complete answer arrived.
     Answered,
-    /// The endpoint was lost, or was too late, after the request was sent.
+    /// The endpoint failed or missed the deadline after the request was sent.
     Lost,
-    /// The endpoint refused the request before it ran, because it is full.
+    /// The endpoint was full and refused the request before it ran.
     Shed,
-    /// No connection could be made, and nothing was sent.
+    /// No connection could be established; nothing was sent.
     Unreachable,
 }
--- a/crates/dispatch/src/policy.rs
+++ b/crates/dispatch/src/policy.rs
@@ -1,17 +1,17 @@
-//! The choice of an endpoint for a request.
+//! Load-balancing policies.
 
 use std::fmt::Debug;
 
-use crate::view::View;
+use crate::endpoint_view::EndpointView;
 
-/// Chooses the endpoint for a request.
+/// A load-balancing policy: selects the endpoint for a request.
 pub trait Policy: Debug {
     /// Key of an endpoint.
     type Key: Copy + Debug + Ord;
 
-    /// Chooses among the endpoints of a service; none lets the request wait.
-    fn choose(&mut self, views: &[View<Self::Key>]) -> Option<Self::Key>;
+    /// Selects an endpoint of the service; none if the request has to wait.
+    fn choose(&mut self, views: &[EndpointView<Self::Key>]) -> Option<Self::Key>;
 
-    /// Takes in how many requests run and wait at this entry, and at another if `peer` is given.
-    fn demand(&mut self, _peer: Option<u32>, _requests: u32) {}
+    /// Records how many requests run or wait at the entry `peer`, or at this one if none is given.
+    fn record_demand(&mut self, _peer: Option<u32>, _requests: u32) {}
 }
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -14,25 +14,26 @@
     action::Action,
     budget::Budget,
     candidate::Candidate,
+    endpoint_state::EndpointState,
+    endpoint_view::EndpointView,
     event::Event,
     limits::Limits,
-    load::Load,
     outcome::Outcome,
     policy::Policy,
-    ticket::Ticket,
-    view::View, //
+    ticket::Ticket, //
 };
 
-/// Time after which a caller refused for want of an endpoint or a slot may come back.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Time after which a client may retry a request refused for lack of an endpoint or a slot.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Of so many endpoints one at most is ejected; a service's last one never is.
-const EJECTABLE: usize = 3;
+/// At most one in this many endpoints is ejected at a time. The first ejection needs just a second
+/// endpoint, so a service's last endpoint is never ejected.
+const ENDPOINTS_PER_EJECTION: usize = 3;
 
-/// Pause until a waiting request is tried again when nothing else happens.
-const RETRY_PAUSE: Duration = Duration::from_millis(5);
+/// Time after which waiting requests are tried again without another event.
+const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Endpoint refusals of full endpoints that are tried again, in a hundred requests.
+/// Requests refused by full endpoints that are placed again, as a percentage of requests.
 const PROBE_PERCENT: u32 = 100;
 
 #[derive(Clone, Copy, Debug)]
@@ -46,20 +47,20 @@
     arrival: Arrival,
     deadline: Duration,
     key: K,
-    since: Duration,
+    placed_at: Duration,
 }
 
-/// The requests of one service at one entry: those that wait, by deadline, and those placed.
+/// The requests of one service at one entry: the waiting ones by deadline, and the placed ones.
 #[derive(Clone, Debug)]
 pub struct Pool<P: Policy> {
     arrivals: BTreeMap<Ticket, Arrival>,
+    endpoints: BTreeMap<P::Key, EndpointState<P::Key>>,
+    had_endpoint: bool,
     limits: Limits,
-    loads: BTreeMap<P::Key, Load<P::Key>>,
     placed: BTreeMap<Ticket, Placed<P::Key>>,
     policy: P,
     probes: Budget,
     retries: Budget,
-    served: bool,
     shed: BTreeSet<Ticket>,
     waiting: BTreeSet<(Duration, Ticket)>,
 }
@@ -69,19 +70,19 @@
     pub const fn new(policy: P, limits: Limits) -> Self {
         Self {
             arrivals: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
+            had_endpoint: false,
             limits,
-            loads: BTreeMap::new(),
             placed: BTreeMap::new(),
             policy,
             probes: Budget::new(),
             retries: Budget::new(),
-            served: false,
             shed: BTreeSet::new(),
             waiting: BTreeSet::new(),
         }
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Handles an event and returns the actions to perform.
     pub fn handle(&mut self, now: Duration, event: Event<P::Key>) -> Vec<Action<P::Key>> {
         let mut actions = Vec::new();
         match event {
@@ -89,13 +90,13 @@
                 self.arrived(now, deadline, ticket, &mut actions)
             }
             Event::Ended { outcome, ticket } => self.ended(now, outcome, ticket, &mut actions),
-            Event::Endpoints(candidates) => self.endpoints(now, candidates),
-            Event::Left(ticket) => self.left(ticket),
-            Event::Peer {
+            Event::Endpoints(candidates) => self.set_endpoints(now, candidates),
+            Event::Left(ticket) => self.cancel(ticket),
+            Event::PeerLoad {
                 counts,
                 peer,
                 waiting,
-            } => self.peer(now, peer, waiting, &counts),
+            } => self.peer_load(now, peer, waiting, &counts),
             Event::Tick => {}
         }
         self.place(now, &mut actions);
@@ -103,27 +104,29 @@
         actions
     }
 
-    /// Sets other limits; requests that run or wait already stay.
+    /// Changes the limits; running and waiting requests are not affected.
     pub const fn limit(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Time of the next [`Event::Tick`] that is needed; none while nothing waits.
+    /// Time of the next [`Event::Tick`] that is needed; none while no request waits.
     pub fn wake(&self, now: Duration) -> Option<Duration> {
-        (!self.waiting.is_empty()).then(|| now + RETRY_PAUSE)
+        (!self.waiting.is_empty()).then(|| now + RETRY_INTERVAL)
     }
 
-    /// Requests that run, as other entries are told of them.
-    pub fn counts(&self) -> impl Iterator<Item = (P::Key, u16)> {
-        self.loads.iter().map(|(key, load)| (*key, load.running()))
+    /// Running requests by endpoint, as reported to other entries.
+    pub fn running_counts(&self) -> impl Iterator<Item = (P::Key, u16)> {
+        self.endpoints
+            .iter()
+            .map(|(key, endpoint)| (*key, endpoint.running()))
     }
 
-    /// Number of requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.placed.len()
     }
 
-    /// Number of requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
@@ -135,10 +138,10 @@
         ticket: Ticket,
         actions: &mut Vec<Action<P::Key>>,
     ) {
-        self.probes.earn(PROBE_PERCENT);
-        self.retries.earn(self.limits.percent);
+        self.probes.deposit(PROBE_PERCENT);
+        self.retries.deposit(self.limits.retry_percent);
         let code = match self.waiting.len() {
-            _ if self.loads.is_empty() => Some(Code::RequestNoEndpoint),
+            _ if self.endpoints.is_empty() => Some(Code::RequestNoEndpoint),
             _ if deadline <= now => Some(Code::RequestDeadline),
             _ if self.placed.len() >= self.limits.running => Some(Code::RequestShed),
             _ => None,
@@ -153,7 +156,7 @@
         };
         self.arrivals.insert(ticket, arrival);
         self.waiting.insert((deadline, ticket));
-        self.demand();
+        self.record_demand();
     }
 
     fn ended(
@@ -166,10 +169,10 @@
         let Some(mut placed) = self.release(ticket) else {
             return;
         };
-        let again = match outcome {
+        let retry = match outcome {
             Outcome::Answered => {
-                if let Some(load) = self.loads.get_mut(&placed.key) {
-                    load.answered(now.saturating_sub(placed.since));
+                if let Some(endpoint) = self.endpoints.get_mut(&placed.key) {
+                    endpoint.answered(now.saturating_sub(placed.placed_at));
                 }
                 return;
             }
@@ -178,22 +181,22 @@
                 return;
             }
             Outcome::Shed => {
-                if let Some(load) = self.loads.get_mut(&placed.key) {
-                    load.shed(now);
+                if let Some(endpoint) = self.endpoints.get_mut(&placed.key) {
+                    endpoint.shed(now);
                 }
-                // The endpoint answered: only what cannot be sent counts as an attempt.
+                // A refusal is an answer; only unreachable endpoints count as attempts.
                 placed.arrival.attempts -= 1;
                 true
             }
             Outcome::Unreachable => {
-                if let Some(load) = self.loads.get_mut(&placed.key) {
-                    load.shed(now);
+                if let Some(endpoint) = self.endpoints.get_mut(&placed.key) {
+                    endpoint.shed(now);
                 }
                 self.failed(now, placed.key);
-                placed.arrival.attempts < self.limits.attempts && self.retries.take()
+                placed.arrival.attempts < self.limits.attempts && self.retries.withdraw()
             }
         };
-        match again && now < placed.deadline {
+        match retry && now < placed.deadline {
             true => {
                 self.arrivals.insert(ticket, placed.arrival);
                 self.waiting.insert((placed.deadline, ticket));
@@ -208,33 +211,33 @@
         }
     }
 
-    fn endpoints(&mut self, now: Duration, candidates: Vec<Candidate<P::Key>>) {
+    fn set_endpoints(&mut self, now: Duration, candidates: Vec<Candidate<P::Key>>) {
         let known: BTreeSet<_> = candidates.iter().map(|candidate| candidate.key).collect();
-        self.loads.retain(|key, _| known.contains(key));
-        let since = self.served.then_some(now);
+        self.endpoints.retain(|key, _| known.contains(key));
+        let started = self.had_endpoint.then_some(now);
         for candidate in candidates {
-            self.loads
+            self.endpoints
                 .entry(candidate.key)
-                .and_modify(|load| load.report(candidate))
-                .or_insert_with(|| Load::new(candidate, since));
+                .and_modify(|endpoint| endpoint.update(candidate))
+                .or_insert_with(|| EndpointState::new(candidate, started));
         }
-        self.served |= !self.loads.is_empty();
+        self.had_endpoint |= !self.endpoints.is_empty();
     }
 
-    fn left(&mut self, ticket: Ticket) {
-        if self.forget(ticket) {
+    fn cancel(&mut self, ticket: Ticket) {
+        if self.remove_arrival(ticket) {
             self.waiting.retain(|(_, waiting)| *waiting != ticket);
         }
         self.release(ticket);
-        self.demand();
+        self.record_demand();
     }
 
-    fn peer(&mut self, now: Duration, peer: u32, waiting: u32, counts: &[(P::Key, u16)]) {
+    fn peer_load(&mut self, now: Duration, peer: u32, waiting: u32, counts: &[(P::Key, u16)]) {
         let running: u32 = counts.iter().map(|(_, count)| u32::from(*count)).sum();
-        self.policy.demand(Some(peer), running + waiting);
-        for (key, load) in &mut self.loads {
+        self.policy.record_demand(Some(peer), running + waiting);
+        for (key, endpoint) in &mut self.endpoints {
             let count = counts.iter().find(|(other, _)| other == key);
-            load.peer(
+            endpoint.set_peer(
                 now,
                 peer,
                 count.map(|(_, count)| *count).unwrap_or_default(),
@@ -242,49 +245,49 @@
         }
     }
 
-    /// Forgets what was kept of a waiting request; returns whether it waited.
-    fn forget(&mut self, ticket: Ticket) -> bool {
+    /// Removes the state of a waiting request; returns whether it was waiting.
+    fn remove_arrival(&mut self, ticket: Ticket) -> bool {
         self.shed.remove(&ticket);
         self.arrivals.remove(&ticket).is_some()
     }
 
     fn release(&mut self, ticket: Ticket) -> Option<Placed<P::Key>> {
         let placed = self.placed.remove(&ticket)?;
-        if let Some(load) = self.loads.get_mut(&placed.key) {
-            load.released();
+        if let Some(endpoint) = self.endpoints.get_mut(&placed.key) {
+            endpoint.released();
         }
         Some(placed)
     }
 
     fn failed(&mut self, now: Duration, key: P::Key) {
         let ejected = self
-            .loads
+            .endpoints
             .values()
-            .filter(|load| load.ejected > now)
+            .filter(|endpoint| endpoint.ejected_until > now)
             .count();
-        let first = ejected == 0 && self.loads.len() > 1;
-        let spare = first || (ejected + 1) * EJECTABLE <= self.loads.len();
-        let Some(load) = self.loads.get_mut(&key) else {
+        let first = ejected == 0 && self.endpoints.len() > 1;
+        let allowed = first || (ejected + 1) * ENDPOINTS_PER_EJECTION <= self.endpoints.len();
+        let Some(endpoint) = self.endpoints.get_mut(&key) else {
             return;
         };
-        if load.failed() && spare {
-            load.eject(now);
+        if endpoint.failed() && allowed {
+            endpoint.eject(now);
         }
     }
 
-    /// Places waiting requests, the earliest deadline first, as long as an endpoint is chosen.
+    /// Places waiting requests, the earliest deadline first, until the policy selects no endpoint.
     fn place(&mut self, now: Duration, actions: &mut Vec<Action<P::Key>>) {
         while let Some((deadline, ticket)) = self.waiting.first().copied() {
             let mut views = self.views(now);
-            let probe = self.shed.contains(&ticket) && !self.probes.any();
-            if probe {
+            let no_probe = self.shed.contains(&ticket) && !self.probes.available();
+            if no_probe {
                 views.retain(|view| view.idle > 0);
             }
             let Some(key) = self.policy.choose(&views) else {
                 return;
             };
             if self.shed.remove(&ticket) {
-                self.probes.take();
+                self.probes.withdraw();
             }
             self.waiting.remove(&(deadline, ticket));
             let mut arrival = self.arrivals.remove(&ticket).unwrap_or(Arrival {
@@ -292,35 +295,36 @@
                 time: now,
             });
             arrival.attempts += 1;
-            if let Some(load) = self.loads.get_mut(&key) {
-                load.placed();
+            if let Some(endpoint) = self.endpoints.get_mut(&key) {
+                endpoint.placed();
             }
             let placed = Placed {
                 arrival,
                 deadline,
                 key,
-                since: now,
+                placed_at: now,
             };
             self.placed.insert(ticket, placed);
             actions.push(Action::Place { key, ticket });
         }
     }
 
-    /// Refuses what waits beyond the limits, at once: the latest deadlines first.
+    /// Refuses the waiting requests that exceed the limits: those with the latest deadlines if the
+    /// queue is too long, then those that waited too long or can no longer meet their deadline.
     fn expire(&mut self, now: Duration, actions: &mut Vec<Action<P::Key>>) {
         while self.waiting.len() > self.limits.queue {
             if let Some((_, ticket)) = self.waiting.pop_last() {
-                self.forget(ticket);
+                self.remove_arrival(ticket);
                 actions.push(Self::refuse(Code::RequestShed, ticket));
             }
         }
-        let typical = self.typical().unwrap_or_default();
+        let median_latency = self.median_latency().unwrap_or_default();
         let (arrivals, limits) = (&self.arrivals, &self.limits);
         let mut refused = Vec::new();
         for (deadline, ticket) in &self.waiting {
             let arrived = arrivals.get(ticket).map_or(now, |arrival| arrival.time);
             match deadline {
-                _ if *deadline <= now + typical => refused.push((*deadline, *ticket)),
+                _ if *deadline <= now + median_latency => refused.push((*deadline, *ticket)),
                 _ if now.saturating_sub(arrived) >= limits.wait => {
                     refused.push((*deadline, *ticket))
                 }
@@ -329,8 +333,8 @@
         }
         for (deadline, ticket) in refused {
             self.waiting.remove(&(deadline, ticket));
-            self.forget(ticket);
-            let code = match deadline <= now + typical {
+            self.remove_arrival(ticket);
+            let code = match deadline <= now + median_latency {
                 true => Code::RequestDeadline,
                 false => Code::RequestShed,
             };
@@ -338,35 +342,35 @@
         }
     }
 
-    fn views(&self, now: Duration) -> Vec<View<P::Key>> {
-        let typical = self.typical();
-        self.loads
+    fn views(&self, now: Duration) -> Vec<EndpointView<P::Key>> {
+        let median_latency = self.median_latency();
+        self.endpoints
             .values()
-            .filter(|load| load.ejected <= now)
-            .map(|load| load.view(now, &self.limits, typical))
+            .filter(|endpoint| endpoint.ejected_until <= now)
+            .map(|endpoint| endpoint.view(now, &self.limits, median_latency))
             .collect()
     }
 
-    /// The median of the endpoints' average answer times.
-    fn typical(&self) -> Option<Duration> {
+    /// Median of the endpoints' average latencies.
+    fn median_latency(&self) -> Option<Duration> {
         let mut times: Vec<_> = self
-            .loads
+            .endpoints
             .values()
-            .filter_map(|load| load.average)
+            .filter_map(|endpoint| endpoint.latency)
             .collect();
         times.sort_unstable();
         times.get(times.len() / 2).copied()
     }
 
-    fn demand(&mut self) {
+    fn record_demand(&mut self) {
         let own = self.placed.len() + self.waiting.len();
         self.policy
-            .demand(None, u32::try_from(own).unwrap_or(u32::MAX));
+            .record_demand(None, u32::try_from(own).unwrap_or(u32::MAX));
     }
 
     const fn refuse(code: Code, ticket: Ticket) -> Action<P::Key> {
         Action::Refuse {
-            after: COME_BACK,
+            after: RETRY_AFTER,
             code,
             ticket,
         }
--- a/crates/dispatch/src/ring.rs
+++ b/crates/dispatch/src/ring.rs
@@ -1,4 +1,4 @@
-//! The holders of each key.
+//! Selection of the holders of each key.
 
 use std::{
     collections::BTreeSet,
@@ -12,30 +12,30 @@
 
 use crate::claim::KeyHash;
 
-/// Holders of a key.
-const SEATS: usize = 3;
+/// Number of holders of a key.
+const HOLDERS_PER_KEY: usize = 3;
 
 /// An entry that may hold claims.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Member {
-    /// Its data centre.
+    /// Data centre.
     pub centre: Box<str>,
-    /// Grows with each start of its process.
+    /// Incarnation of the process; it increases with each start.
     pub incarnation: u64,
-    /// Its name.
+    /// Name.
     pub name: Box<str>,
 }
 
-/// The entries that are present, and every data centre that was ever seen.
+/// The present entries, and every data centre that was ever seen.
 ///
-/// A key has three holders in three data centres. A key that names a data centre has two there
-/// and one outside. Data centres are never forgotten: the holders of one that is cut off are not
-/// replaced elsewhere, so that both sides of a partition cannot hold a majority.
+/// A key has three holders in three data centres. A key with a home data centre has two there and
+/// one elsewhere. Data centres are never removed: the holders of one that is unreachable are not
+/// replaced elsewhere, so that the two sides of a partition cannot both have a majority.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Ring {
     centres: BTreeSet<Box<str>>,
     members: BTreeSet<Member>,
-    most: usize,
+    max_members: usize,
 }
 
 impl Ring {
@@ -44,22 +44,22 @@
         Self::default()
     }
 
-    /// The ring after the present members have become these.
+    /// Returns the ring with these members instead of the present ones.
     pub fn with_members(&self, members: impl IntoIterator<Item = Member>) -> Self {
         let members: BTreeSet<_> = members.into_iter().collect();
         let mut centres = self.centres.clone();
         centres.extend(members.iter().map(|member| member.centre.clone()));
         Self {
             centres,
-            most: self.most.max(members.len()),
+            max_members: self.max_members.max(members.len()),
             members,
         }
     }
 
     /// The present holders of a key, three at most.
     pub fn holders(&self, key: &KeyHash) -> Vec<&Member> {
-        let mut holders: Vec<&Member> = Vec::with_capacity(SEATS);
-        for centre in self.seats(key) {
+        let mut holders: Vec<&Member> = Vec::with_capacity(HOLDERS_PER_KEY);
+        for centre in self.holder_centres(key) {
             let next = self
                 .members
                 .iter()
@@ -70,29 +70,32 @@
         holders
     }
 
-    /// Grants that a claim needs: two, but for a system that never had a second entry.
+    /// Grants that a claim needs: two, or one if the system never had a second entry.
     pub const fn quorum(&self) -> usize {
-        match self.most {
+        match self.max_members {
             0 | 1 => 1,
             _ => 2,
         }
     }
 
-    /// Other holders whose claims together hold every earlier claim on a key.
-    pub fn others(&self) -> usize {
-        self.most.saturating_sub(1).clamp(1, SEATS - 1)
+    /// Number of other holders whose claims together include every earlier claim on a key.
+    pub fn required_sources(&self) -> usize {
+        self.max_members
+            .saturating_sub(1)
+            .clamp(1, HOLDERS_PER_KEY - 1)
     }
 
-    /// The entry of that name, if it is present.
+    /// The present entry of that name, if any.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members.iter().find(|member| &*member.name == name)
     }
 
-    /// Whether an entry of `centre` that holds a key in this ring held it in `earlier` too.
+    /// Whether every key that an entry of `centre` holds in this ring was also held by it in
+    /// `earlier`.
     ///
-    /// Holders are chosen by weight, so that one of more entries and data centres is also one of
-    /// fewer.
-    pub fn narrows(&self, earlier: &Self, centre: &str) -> bool {
+    /// Holders have the highest weights, so an entry that holds a key among more entries and data
+    /// centres also holds it among fewer.
+    pub fn holds_subset(&self, earlier: &Self, centre: &str) -> bool {
         let names = |ring: &Self| -> BTreeSet<Box<str>> {
             let members = ring.members.iter();
             members
@@ -108,8 +111,8 @@
         self.members.iter()
     }
 
-    /// The data centre of each holder.
-    fn seats<'a>(&'a self, key: &'a KeyHash) -> Vec<&'a str> {
+    /// The data centre of each holder of a key.
+    fn holder_centres<'a>(&'a self, key: &'a KeyHash) -> Vec<&'a str> {
         let mut centres: Vec<&str> = self.centres.iter().map(|centre| &**centre).collect();
         centres.sort_by_key(|centre| std::cmp::Reverse(weight(key.hash, centre)));
         let home = key.home.as_deref().filter(|home| centres.contains(home));
@@ -118,17 +121,17 @@
             return vec![home, home, outside.unwrap_or(home)];
         }
         let first = centres.first().copied();
-        let mut seats: Vec<&str> = centres.into_iter().take(SEATS).collect();
+        let mut holder_centres: Vec<&str> = centres.into_iter().take(HOLDERS_PER_KEY).collect();
         while let Some(first) = first
-            && seats.len() < SEATS
+            && holder_centres.len() < HOLDERS_PER_KEY
         {
-            seats.insert(0, first);
+            holder_centres.insert(0, first);
         }
-        seats
+        holder_centres
     }
 }
 
-/// Highest random weight hashing (Thaler and Ravishankar, 1998).
+/// Rendezvous (highest random weight) hashing (Thaler and Ravishankar, 1998).
 fn weight(hash: u128, name: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     hash.hash(&mut hasher);
--- a/crates/dispatch/src/ticket.rs
+++ b/crates/dispatch/src/ticket.rs
@@ -1,5 +1,5 @@
-//! The number of a request at an entry.
+//! Request numbers.
 
-/// The number of a request at an entry; never used twice by one process.
+/// Number of a request at an entry; never reused by the same process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
--- a/crates/dispatch/src/two_choices.rs
+++ b/crates/dispatch/src/two_choices.rs
@@ -1,4 +1,4 @@
-//! The less busy of two endpoints drawn at random.
+//! A policy that selects the less loaded of two random endpoints.
 
 use std::{
     fmt::Debug,
@@ -12,11 +12,12 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    policy::Policy,
-    view::View, //
+    endpoint_view::EndpointView,
+    policy::Policy, //
 };
 
-/// The less busy of two endpoints drawn at random (Mitzenmacher, 2001), by this entry's own count.
+/// Selects the less loaded of two random endpoints (Mitzenmacher, 2001), by this entry's own
+/// requests.
 #[derive(Clone, Debug)]
 pub struct TwoChoices<K> {
     keys: PhantomData<K>,
@@ -24,7 +25,7 @@
 }
 
 impl<K> TwoChoices<K> {
-    /// Creates the policy with a seed for its choices.
+    /// Creates the policy with a seed for its random choices.
     pub fn new(seed: u64) -> Self {
         Self {
             keys: PhantomData,
@@ -36,7 +37,7 @@
 impl<K: Copy + Debug + Ord> Policy for TwoChoices<K> {
     type Key = K;
 
-    fn choose(&mut self, views: &[View<K>]) -> Option<K> {
+    fn choose(&mut self, views: &[EndpointView<K>]) -> Option<K> {
         if views.is_empty() {
             return None;
         }
--- a/crates/dispatch/src/vote.rs
+++ b/crates/dispatch/src/vote.rs
@@ -1,4 +1,4 @@
-//! The holders' replies to a claim, counted.
+//! Counting the holders' replies to a claim.
 
 use std::rc::Rc;
 
@@ -7,20 +7,20 @@
     Reply, //
 };
 
-/// What the replies to a claim come to.
+/// The result of a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// The key was answered before, and this is the answer.
     Answered(Rc<[u8]>),
-    /// The holders have no room for further claims.
+    /// The holders cannot store further claims.
     Full,
-    /// The request may be sent on.
+    /// The request may be sent.
     Granted,
-    /// Another claim holds the key; it is to be asked for again.
+    /// An earlier claim on the key is still pending; the claimant should retry.
     Held(ClaimId),
-    /// The key was used for another request.
+    /// The key was used for a different request.
     Mismatch,
-    /// The key was answered before, and the answer is not kept.
+    /// The key was answered before, but the answer is not stored.
     Ran,
     /// Whether the request ran is not known.
     Unknown,
@@ -29,7 +29,7 @@
 /// Counts the holders' replies to one claim.
 #[derive(Clone, Debug)]
 pub struct Vote {
-    asked: usize,
+    holders: usize,
     full: usize,
     granted: usize,
     held: Option<ClaimId>,
@@ -39,11 +39,10 @@
 }
 
 impl Vote {
-    /// Creates the count for a claim that `asked` holders were asked for and that needs `quorum`
-    /// grants.
-    pub const fn new(asked: usize, quorum: usize) -> Self {
+    /// Creates the count for a claim that was sent to `holders` holders and needs `quorum` grants.
+    pub const fn new(holders: usize, quorum: usize) -> Self {
         Self {
-            asked,
+            holders,
             full: 0,
             granted: 0,
             held: None,
@@ -53,8 +52,8 @@
         }
     }
 
-    /// Takes in a reply; none stands for a holder that did not reply in time. Returns the verdict
-    /// as soon as it is certain.
+    /// Counts a reply; none stands for a holder that timed out. Returns the verdict as soon as it
+    /// is final.
     pub fn reply(&mut self, reply: Option<Reply>) -> Option<Verdict> {
         self.replies += 1;
         match reply {
@@ -68,12 +67,12 @@
         }
         match self.granted {
             granted if granted >= self.quorum => Some(Verdict::Granted),
-            _ if self.replies >= self.asked => Some(self.last()),
+            _ if self.replies >= self.holders => Some(self.last()),
             _ => None,
         }
     }
 
-    /// The verdict when every holder has replied or been given up.
+    /// The verdict without a quorum, once every holder has replied or timed out.
     pub fn last(&self) -> Verdict {
         match &self.held {
             _ if self.ran => Verdict::Ran,
--- a/crates/dispatch/tests/claims.rs
+++ b/crates/dispatch/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on idempotency keys: holders, votes and what a new holder cannot know.
+//! Tests of claims on idempotency keys: holders, vote counts, and holders that lack claims.
 
 use std::{
     collections::BTreeMap,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Holders that know everything, by name.
+/// Holders that have every claim, by name.
 fn holders(ring: &Ring) -> BTreeMap<Box<str>, Holder> {
     ring.members()
         .map(|member| {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Both sides of a partition never hold a majority of one key.
+/// The two sides of a partition never both have a majority of a key's holders.
 #[test]
 fn ring_partition_one_majority() {
     let whole = Ring::new().with_members(members());
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn claim_joined_resend() {
+fn claim_pending_resend() {
     let ring = Ring::new().with_members(members());
     let mut holders = holders(&ring);
     let first = claim("a1", &key(1));
@@ -192,7 +192,7 @@
     assert_eq!(vote(START, &ring, &mut holders, &resend), Verdict::Granted);
 }
 
-/// A release names its claim: one that is late leaves a later claim in place.
+/// A late release of an earlier claim does not release a later one.
 #[test]
 fn claim_late_release() {
     let ring = Ring::new().with_members(members());
@@ -264,7 +264,10 @@
             verdict => panic!("{verdict:?} for a key that has run"),
         }
     }
-    assert_ne!(unknown, 50, "keys with one dead holder at most are known");
+    assert_ne!(
+        unknown, 50,
+        "claims on keys with at most one dead holder must be found"
+    );
     let later = START * 2 + RETENTION + Duration::from_secs(10);
     for hash in 100..150 {
         let first = claim("z1", &key(hash));
@@ -282,9 +285,9 @@
     assert_eq!(holder.claim(after, claim("a1", &key(2))), Reply::Granted);
 }
 
-/// A restarted holder knows the claims again as soon as both others have handed theirs over.
+/// A restarted holder is complete again once both other holders have transferred their claims.
 #[test]
-fn restart_handed_over() {
+fn restart_claims_transferred() {
     let all = [member("a", "a1"), member("b", "b1"), member("c", "c1")];
     let ring = Ring::new().with_members(all.clone());
     let mut holders = holders(&ring);
@@ -310,9 +313,9 @@
     assert!(fresh.records(now).is_some());
 }
 
-/// A holder whose own seats have changed hands nothing over.
+/// A holder whose own set of keys has changed transfers no claims.
 #[test]
-fn restart_unsettled_giver() {
+fn restart_incomplete_source() {
     let ring = Ring::new().with_members(members());
     let mut holders = holders(&ring);
     let after = ring.with_members(members().into_iter().filter(|m| &*m.name != "a1"));
--- a/crates/dispatch/tests/pool.rs
+++ b/crates/dispatch/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Admission, queue, placement, retries and ejection of a service's requests.
+//! Tests of admission, queueing, placement, retries and ejection.
 
 use std::time::Duration;
 
@@ -137,9 +137,9 @@
     assert_eq!(codes(&actions), [(2, Code::RequestShed)]);
 }
 
-/// A request that can no longer be answered in time is refused as soon as that is known.
+/// A request that cannot meet its deadline at the median latency is refused at once.
 #[test]
-fn queue_hopeless_deadline() {
+fn queue_unmeetable_deadline() {
     let mut pool = pool(1, 1, Limits::new().with_wait(SECOND * 9));
     arrive(&mut pool, SECOND, 1);
     end(&mut pool, SECOND + millis(400), 1, Outcome::Answered);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn left_frees_slot() {
+fn cancelled_frees_slot() {
     let mut pool = pool(1, 1, Limits::new());
     arrive(&mut pool, SECOND, 1);
     arrive(&mut pool, SECOND, 2);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn left_while_waiting() {
+fn cancelled_while_waiting() {
     let mut pool = pool(1, 1, Limits::new());
     arrive(&mut pool, SECOND, 1);
     arrive(&mut pool, SECOND, 2);
@@ -230,7 +230,7 @@
     let mut now = SECOND;
     for ticket in 0..200 {
         let actions = arrive(&mut pool, now, ticket);
-        assert_eq!(actions.len(), 1, "the service was ejected whole");
+        assert_eq!(actions.len(), 1, "all endpoints were ejected");
         end(&mut pool, now, ticket, Outcome::Lost);
         now += millis(1);
     }
@@ -241,15 +241,15 @@
             key
         })
         .collect();
-    assert_eq!(used.len(), 4, "a third of the endpoints is ejected");
+    assert_eq!(used.len(), 4, "a third of the endpoints must be ejected");
 }
 
 #[test]
-fn warm_up_share() {
+fn slow_start_share() {
     let mut pool = pool(1, 3, Limits::new().with_warm_up(SECOND * 3));
     let both = vec![candidate(0, 3), candidate(1, 3)];
     pool.handle(SECOND, Event::Endpoints(both));
-    let mut given = |now: Duration, from: u64| {
+    let mut placed_at_new = |now: Duration, from: u64| {
         let keys: Vec<_> = (from..from + 6)
             .flat_map(|ticket| arrive(&mut pool, now, ticket))
             .map(|action| match action {
@@ -262,14 +262,14 @@
         }
         keys.iter().filter(|key| **key == 1).count()
     };
-    assert_eq!(given(SECOND, 0), 1);
-    assert_eq!(given(SECOND + millis(1500), 10), 2);
-    assert_eq!(given(SECOND * 4, 20), 3);
+    assert_eq!(placed_at_new(SECOND, 0), 1);
+    assert_eq!(placed_at_new(SECOND + millis(1500), 10), 2);
+    assert_eq!(placed_at_new(SECOND * 4, 20), 3);
 }
 
-/// An idle report does not bring requests to an endpoint that refuses them.
+/// An endpoint that refuses requests is avoided even if it reports to be idle.
 #[test]
-fn report_contradicted() {
+fn report_contradicted_by_refusal() {
     let mut pool = pool(2, 3, Limits::new());
     let reports = vec![
         candidate(0, 3),
@@ -304,10 +304,10 @@
 }
 
 #[test]
-fn peer_requests_counted() {
+fn peer_load_counted() {
     let mut pool = pool(2, 3, Limits::new());
     let counts = vec![(0, 3)];
-    let peer = Event::Peer {
+    let peer = Event::PeerLoad {
         counts,
         peer: 1,
         waiting: 0,
