--- a/crates/distribution/benches/config/main.rs
+++ b/crates/distribution/benches/config/main.rs
@@ -1,15 +1,15 @@
-//! Ways of distribution at 13,000 daemons: time to the last one, and bytes.
+//! Distribution strategies with 13,000 daemons: time to distribute a change, and traffic.
 
+mod centre;
 mod network;
-mod place;
 mod report;
-mod ways;
+mod strategies;
 
-use ways::Way;
+use strategies::Strategy;
 
 fn main() {
-    for way in Way::ALL {
-        way.measure(Some(13_000));
+    for strategy in Strategy::ALL {
+        strategy.measure(Some(13_000));
     }
-    Way::Direct.measure(None);
+    Strategy::Direct.measure(None);
 }
--- a/crates/distribution/benches/config/network.rs
+++ b/crates/distribution/benches/config/network.rs
@@ -1,4 +1,4 @@
-//! Drives the state machines of a whole network in one process, without sockets.
+//! Simulates a whole network of state machines in one process, without sockets.
 
 use std::{
     cmp::{
@@ -12,9 +12,9 @@
 use mimosausher_distribution::{
     Action,
     Event,
-    Machine,
     NodeKey,
-    Payload, //
+    Payload,
+    StateMachine, //
 };
 use rand::{
     Rng,
@@ -22,21 +22,21 @@
 };
 use rand_chacha::ChaCha8Rng;
 
-use crate::place::Place;
+use crate::centre::Centre;
 
-/// IPv4 and TCP headers with time stamps, and the frame's length, in bytes.
+/// Size of the IPv4 header, the TCP header with timestamps, and the frame length field.
 const HEADER_BYTES: u64 = 56;
 
-/// A change of a section on its way, in bytes.
+/// Size of a section change in a message.
 const CHANGE_BYTES: u64 = 1_200;
 
-/// Time that a node spends on each message it sends or receives.
-const MESSAGE: Duration = Duration::from_micros(20);
+/// Processing time of a node for each message sent or received.
+const MESSAGE_TIME: Duration = Duration::from_micros(20);
 
-/// Time for each byte on a node's way out, at 1 Gbit/s.
+/// Transmission time per byte, at 1 Gbit/s.
 const BYTE_NANOS: u64 = 8;
 
-/// Bytes of a node since they were last set to zero.
+/// A node's traffic since the last reset.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Received bytes.
@@ -46,78 +46,78 @@
 }
 
 struct Node<M> {
-    busy: Duration,
+    busy_until: Duration,
+    centre: Centre,
     dead: bool,
     machine: M,
-    place: Place,
     traffic: Traffic,
     wake: Option<Duration>,
 }
 
-struct Due<T> {
+struct ScheduledEvent<T> {
     event: Event<T>,
-    order: u64,
+    sequence: u64,
     time: Duration,
     to: NodeKey,
 }
 
-impl<T> PartialEq for Due<T> {
+impl<T> PartialEq for ScheduledEvent<T> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl<T> Eq for Due<T> {}
+impl<T> Eq for ScheduledEvent<T> {}
 
-impl<T> PartialOrd for Due<T> {
+impl<T> PartialOrd for ScheduledEvent<T> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> Ord for Due<T> {
+impl<T> Ord for ScheduledEvent<T> {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.time, self.order).cmp(&(other.time, other.order))
+        (self.time, self.sequence).cmp(&(other.time, other.sequence))
     }
 }
 
-/// A change on its way to every node.
+/// A change that is being distributed.
 struct Change {
-    lacking: usize,
+    completed: Option<Duration>,
+    pending_nodes: usize,
     published: Duration,
-    taken: Option<Duration>,
 }
 
-/// A network of nodes, with the time that has passed in it.
-pub struct Network<M: Machine> {
-    /// Bytes between regions since they were last set to zero.
-    pub far_bytes: u64,
+/// A simulated network of nodes.
+pub struct Network<M: StateMachine> {
+    /// Bytes sent between regions since the last reset.
+    pub cross_region_bytes: u64,
     changes: Vec<Change>,
     nodes: Vec<Node<M>>,
     now: Duration,
-    order: u64,
-    queue: BinaryHeap<Reverse<Due<M::Message>>>,
+    queue: BinaryHeap<Reverse<ScheduledEvent<M::Message>>>,
     rng: ChaCha8Rng,
+    sequence: u64,
 }
 
-impl<M: Machine> Network<M> {
-    /// Creates a network from its nodes, each with its place, and starts them.
-    pub fn new(nodes: Vec<(M, Place)>, seed: u64) -> Self {
+impl<M: StateMachine> Network<M> {
+    /// Creates a network from its nodes, each with its data centre, and starts them.
+    pub fn new(nodes: Vec<(M, Centre)>, seed: u64) -> Self {
         let mut network = Self {
             changes: Vec::new(),
-            far_bytes: 0,
+            cross_region_bytes: 0,
             nodes: Vec::with_capacity(nodes.len()),
             now: Duration::ZERO,
-            order: 0,
             queue: BinaryHeap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
+            sequence: 0,
         };
-        for (index, (machine, place)) in nodes.into_iter().enumerate() {
+        for (index, (machine, centre)) in nodes.into_iter().enumerate() {
             network.nodes.push(Node {
-                busy: Duration::ZERO,
+                busy_until: Duration::ZERO,
+                centre,
                 dead: false,
                 machine,
-                place,
                 traffic: Traffic::default(),
                 wake: None,
             });
@@ -130,128 +130,130 @@
         network
     }
 
-    /// Stops a node: it sends, receives and answers nothing any more.
+    /// Stops a node: it no longer sends or handles messages.
     pub fn kill(&mut self, key: NodeKey) {
         let node = &mut self.nodes[key.0 as usize];
         if std::mem::replace(&mut node.dead, true) {
             return;
         }
         let revision = node.machine.revision();
-        self.reached(revision, u64::MAX);
+        self.record_progress(revision, u64::MAX);
     }
 
-    /// Accepts the next revision, which the stores learn of in the time to the first of them.
+    /// Accepts the next revision at the first store; each store gets it after the latency from
+    /// there.
     pub fn publish(&mut self, stores: &[NodeKey]) {
         let alive = self.nodes.iter().filter(|node| !node.dead).count();
         self.changes.push(Change {
-            lacking: alive,
+            completed: None,
+            pending_nodes: alive,
             published: self.now,
-            taken: None,
         });
         let revision = self.changes.len() as u64;
-        let place = self.nodes[stores[0].0 as usize].place;
+        let centre = self.nodes[stores[0].0 as usize].centre;
         for store in stores {
-            let delay = place.latency(self.nodes[store.0 as usize].place);
+            let delay = centre.latency(self.nodes[store.0 as usize].centre);
             self.push(self.now + delay, *store, Event::Publish(revision));
         }
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
-        while let Some(Reverse(due)) = self.queue.pop() {
-            if due.time > end {
-                self.queue.push(Reverse(due));
+        while let Some(Reverse(scheduled)) = self.queue.pop() {
+            if scheduled.time > end {
+                self.queue.push(Reverse(scheduled));
                 break;
             }
-            self.now = due.time;
-            self.handle(due);
+            self.now = scheduled.time;
+            self.handle(scheduled);
         }
         self.now = end;
     }
 
-    /// Times from the acceptance of each change until it was in force at the last node; none for
-    /// one that is not yet.
+    /// Time from the acceptance of each change until it was in force at all nodes; none for one
+    /// that is not in force everywhere yet.
     pub fn times(&self) -> Vec<Option<Duration>> {
-        let time = |change: &Change| Some(change.taken? - change.published);
+        let time = |change: &Change| Some(change.completed? - change.published);
         self.changes.iter().map(time).collect()
     }
 
-    /// The bytes of all living nodes, with their index.
+    /// The traffic of each live node, by index.
     pub fn traffic(&self) -> impl Iterator<Item = (usize, Traffic)> {
-        let living = self.nodes.iter().enumerate().filter(|(_, node)| !node.dead);
-        living.map(|(index, node)| (index, node.traffic))
+        let live = self.nodes.iter().enumerate().filter(|(_, node)| !node.dead);
+        live.map(|(index, node)| (index, node.traffic))
     }
 
-    /// Sets all bytes to zero.
+    /// Resets all traffic counters.
     pub fn reset(&mut self) {
-        self.far_bytes = 0;
+        self.cross_region_bytes = 0;
         for node in &mut self.nodes {
             node.traffic = Traffic::default();
         }
     }
 
-    fn handle(&mut self, due: Due<M::Message>) {
-        let node = &mut self.nodes[due.to.0 as usize];
+    fn handle(&mut self, scheduled: ScheduledEvent<M::Message>) {
+        let node = &mut self.nodes[scheduled.to.0 as usize];
         if node.dead {
             return;
         }
-        match &due.event {
+        match &scheduled.event {
             Event::Message { message, .. } => {
                 node.traffic.received += bytes(message);
-                node.busy = node.busy.max(self.now) + MESSAGE;
+                node.busy_until = node.busy_until.max(self.now) + MESSAGE_TIME;
             }
             Event::Wake if node.wake != Some(self.now) => return,
             Event::Wake => node.wake = None,
             Event::Publish(_) | Event::Start => {}
         }
         let before = node.machine.revision();
-        let actions = node.machine.handle(self.now, due.event);
+        let actions = node.machine.handle(self.now, scheduled.event);
         let after = node.machine.revision();
         if after > before {
-            self.reached(before, after);
+            self.record_progress(before, after);
         }
         for action in actions {
             match action {
-                Action::Send { message, to } => self.send(due.to, to, message),
-                Action::Wake(time) => self.wake(due.to, time),
+                Action::Send { message, to } => self.send(scheduled.to, to, message),
+                Action::Wake(time) => self.wake(scheduled.to, time),
             }
         }
     }
 
     fn push(&mut self, time: Duration, to: NodeKey, event: Event<M::Message>) {
-        self.order += 1;
-        self.queue.push(Reverse(Due {
+        self.sequence += 1;
+        self.queue.push(Reverse(ScheduledEvent {
             event,
-            order: self.order,
+            sequence: self.sequence,
             time,
             to,
         }));
     }
 
-    /// Notes that a node went from one revision to another.
-    fn reached(&mut self, before: u64, after: u64) {
+    /// Records that a node advanced from one revision to another.
+    fn record_progress(&mut self, before: u64, after: u64) {
         let end = usize::try_from(after)
             .unwrap_or(usize::MAX)
             .min(self.changes.len());
         for change in &mut self.changes[before as usize..end] {
-            change.lacking -= 1;
-            if change.lacking == 0 {
-                change.taken = Some(self.now);
+            change.pending_nodes -= 1;
+            if change.pending_nodes == 0 {
+                change.completed = Some(self.now);
             }
         }
     }
 
     fn send(&mut self, from: NodeKey, to: NodeKey, message: M::Message) {
         let size = bytes(&message);
-        let place = self.nodes[to.0 as usize].place;
+        let centre = self.nodes[to.0 as usize].centre;
         let node = &mut self.nodes[from.0 as usize];
         node.traffic.sent += size;
-        node.busy = node.busy.max(self.now) + MESSAGE + Duration::from_nanos(size * BYTE_NANOS);
-        let travel = node.place.latency(place);
-        let time = node.busy + travel.mul_f64(self.rng.random_range(1.0..1.2));
-        if node.place.region() != place.region() {
-            self.far_bytes += size;
+        node.busy_until =
+            node.busy_until.max(self.now) + MESSAGE_TIME + Duration::from_nanos(size * BYTE_NANOS);
+        let delay = node.centre.latency(centre);
+        let time = node.busy_until + delay.mul_f64(self.rng.random_range(1.0..1.2));
+        if node.centre.region() != centre.region() {
+            self.cross_region_bytes += size;
         }
         self.push(time, to, Event::Message { from, message });
     }
@@ -259,7 +261,7 @@
     fn wake(&mut self, key: NodeKey, time: Duration) {
         let time = time.max(self.now);
         let node = &mut self.nodes[key.0 as usize];
-        if node.wake.is_none_or(|due| due > time) {
+        if node.wake.is_none_or(|wake| wake > time) {
             node.wake = Some(time);
             self.push(time, key, Event::Wake);
         }
--- a/crates/distribution/src/changes.rs
+++ b/crates/distribution/src/changes.rs
@@ -1,86 +1,89 @@
-//! Which sections changed since a follower's revision.
+//! Tracking of the sections that changed since a revision.
 
 use std::collections::BTreeMap;
 
-/// Removed sections that are remembered; a follower from before the oldest gets the whole document.
-pub const REMOVED: usize = 1_024;
+/// Most removals that are tracked. A follower with a revision before the oldest one gets the whole
+/// document.
+pub const MAX_REMOVED: usize = 1_024;
 
-/// A section with the number of its version.
+/// A section and its version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Section {
-    /// Its name.
+    /// Name.
     pub name: Box<str>,
-    /// Its version.
+    /// Version number.
     pub version: u64,
 }
 
-/// What a follower lacks.
+/// The difference between a follower's revision and the current one.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Delta {
     /// Names of the sections that changed.
     pub changed: Vec<Box<str>>,
-    /// Whether `changed` is the whole document, so that every other section is gone.
+    /// Whether `changed` is the whole document, so that all other sections were removed.
     pub complete: bool,
-    /// Names of the sections that are gone.
+    /// Names of the sections that were removed.
     pub removed: Vec<Box<str>>,
 }
 
-/// When each section last changed, learnt from the successive states of the document.
+/// The revision at which each section last changed, derived from successive states of the document.
 ///
-/// It starts from the first state that it is shown; a follower from before that gets the whole.
+/// Tracking starts with the first recorded state; a follower with an earlier revision gets the
+/// whole document.
 #[derive(Clone, Debug, Default)]
 pub struct Changes {
-    floor: u64,
-    known: BTreeMap<Box<str>, Mark>,
+    oldest: u64,
     removed: BTreeMap<Box<str>, u64>,
     revision: u64,
+    sections: BTreeMap<Box<str>, SectionState>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct SectionState {
     revision: u64,
     version: u64,
 }
 
 impl Changes {
-    /// Creates the record of a document that nothing is known of.
+    /// Creates a tracker without a recorded state.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the document's state at a later revision.
+    /// Records the document's state at a later revision.
     pub fn record(&mut self, revision: u64, sections: impl Iterator<Item = Section>) {
         if revision <= self.revision {
             return;
         }
-        let mut gone = std::mem::take(&mut self.known);
+        let mut missing = std::mem::take(&mut self.sections);
         for section in sections {
-            let same = gone
+            let unchanged = missing
                 .remove(&section.name)
-                .filter(|mark| mark.version == section.version);
-            let fresh = Mark {
+                .filter(|state| state.version == section.version);
+            let changed = SectionState {
                 revision,
                 version: section.version,
             };
             self.removed.remove(&section.name);
-            self.known.insert(section.name, same.unwrap_or(fresh));
+            self.sections
+                .insert(section.name, unchanged.unwrap_or(changed));
         }
-        let names = gone.into_keys().map(|name| (name, revision));
+        let names = missing.into_keys().map(|name| (name, revision));
         self.removed.extend(names);
         if self.revision == 0 {
-            self.floor = revision;
+            self.oldest = revision;
         }
         self.revision = revision;
-        self.forget();
+        self.prune();
     }
 
-    /// What a follower lacks that has `revision`.
+    /// What changed since `revision`.
     pub fn since(&self, revision: u64) -> Delta {
-        let complete = revision < self.floor;
+        let complete = revision < self.oldest;
         let changed = self
-            .known
+            .sections
             .iter()
-            .filter(|(_, mark)| complete || mark.revision > revision)
+            .filter(|(_, state)| complete || state.revision > revision)
             .map(|(name, _)| name.clone())
             .collect();
         let removed = self
@@ -96,12 +99,12 @@
         }
     }
 
-    /// Drops the oldest removed sections beyond the bound.
-    fn forget(&mut self) {
-        while self.removed.len() > REMOVED {
-            let oldest = self.removed.values().copied().min().unwrap_or_default();
-            self.removed.retain(|_, since| *since > oldest);
-            self.floor = self.floor.max(oldest);
+    /// Drops the oldest removals beyond the limit.
+    fn prune(&mut self) {
+        while self.removed.len() > MAX_REMOVED {
+            let dropped = self.removed.values().copied().min().unwrap_or_default();
+            self.removed.retain(|_, since| *since > dropped);
+            self.oldest = self.oldest.max(dropped);
         }
     }
 }
--- a/crates/distribution/src/follower.rs
+++ b/crates/distribution/src/follower.rs
@@ -1,96 +1,98 @@
-//! Following two upstreams, and leaving one that is silent, isolated or behind.
+//! Following two upstreams, and replacing one that is unresponsive, isolated or behind.
 
 use std::{
     collections::BTreeMap,
     time::Duration, //
 };
 
-/// Time after which an upstream that does not answer is given up.
+/// Time after which an upstream that does not answer is dropped.
 pub const ASK_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time for which the first upstream may lack a revision that the second has.
-pub const LAG: Duration = Duration::from_millis(250);
+/// Longest time for which the first upstream may be behind the second.
+pub const MAX_LAG: Duration = Duration::from_millis(250);
 
-/// Upstreams that are followed at once.
-pub const LINKS: usize = 2;
+/// Most upstreams that are followed at the same time.
+pub const MAX_LINKS: usize = 2;
 
-/// Time for which an upstream that failed or is isolated is left alone.
-pub const REST: Duration = Duration::from_secs(1);
+/// Time after which an upstream that failed or is isolated may be tried again.
+pub const UPSTREAM_BACKOFF: Duration = Duration::from_secs(1);
 
-/// What a follower asks an upstream for.
+/// A follower's long poll of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ask {
-    /// Whether the revision's number is enough, without what changed.
+    /// Whether to answer with the revision number only, without the changes.
     pub brief: bool,
-    /// Whether the answer counts as confirmed only if it holds all that was accepted before.
+    /// Whether the answer counts as confirmed only if it includes everything accepted before the
+    /// poll.
     pub fresh: bool,
-    /// Answer when there is a later revision than this one.
+    /// The upstream answers once it has a later revision than this one.
     pub revision: u64,
 }
 
-/// What an upstream answers.
+/// An upstream's answer to a poll.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Answer {
-    /// Whether the upstream was in contact with a quorum of the stores lately.
+    /// Whether the upstream was recently in contact with a quorum of the stores.
     pub confirmed: bool,
     /// The upstream's revision.
     pub revision: u64,
-    /// Whether what changed came along.
+    /// Whether the answer includes the changes.
     pub update: bool,
 }
 
-/// What happens to a follower.
+/// An event that a follower handles.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event<K> {
     /// An upstream answered.
     Answer {
-        /// What it answered.
+        /// The answer.
         answer: Answer,
         /// The upstream.
         from: K,
     },
-    /// An upstream failed, or what it sent could not be used.
+    /// An upstream failed, or its answer could not be used.
     Lost(K),
     /// Time passed.
     Tick,
-    /// The instances that may be followed, the most preferred first.
+    /// The available upstreams changed; the most preferred comes first.
     Upstreams(Vec<K>),
 }
 
-/// What a follower wants done.
+/// An action that a follower requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action<K> {
-    /// Ask an upstream.
+    /// Poll an upstream.
     Ask {
-        /// What for.
+        /// The poll.
         ask: Ask,
         /// The upstream.
         to: K,
     },
-    /// Close the connection to an upstream and drop what it still answers.
+    /// Close the connection to an upstream and discard its outstanding answers.
     Close(K),
-    /// Take what came with the answer into force.
+    /// Put the changes in the answer into force; this is their revision.
     Take(u64),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Link<K> {
-    asked: Duration,
     key: K,
+    last_poll: Duration,
     pending: u32,
-    seen: u64,
+    revision: u64,
 }
 
-/// Follows two upstreams: the first for what changed, the second for its revision only.
+/// Follows two upstreams: the first for the changes, the second only for its revision.
 ///
-/// The revision in force only grows. Until one confirmed answer has been taken, nothing from an
-/// unconfirmed one is: a restarted instance takes no document that may be older than its last.
+/// The revision in force never decreases. Until a confirmed answer has been applied, unconfirmed
+/// ones are not applied, so that a restarted instance does not go back to an older document than
+/// its last one.
 #[derive(Clone, Debug)]
 pub struct Follower<K> {
-    behind: Option<Duration>,
+    backoff: BTreeMap<K, Duration>,
+    behind_since: Option<Duration>,
     confirmed: bool,
     links: Vec<Link<K>>,
-    resting: BTreeMap<K, Duration>,
     revision: u64,
     upstreams: Vec<K>,
 }
@@ -102,19 +104,19 @@
 }
 
 impl<K: Copy + Ord> Follower<K> {
-    /// Creates the follower of an instance that has no document.
+    /// Creates the follower of an instance without a document.
     pub const fn new() -> Self {
         Self {
-            behind: None,
+            backoff: BTreeMap::new(),
+            behind_since: None,
             confirmed: false,
             links: Vec::new(),
-            resting: BTreeMap::new(),
             revision: 0,
             upstreams: Vec::new(),
         }
     }
 
-    /// Whether a document that a quorum confirmed after the start has been taken.
+    /// Whether a document that a quorum confirmed after the start has been applied.
     pub const fn confirmed(&self) -> bool {
         self.confirmed
     }
@@ -124,30 +126,30 @@
         self.revision
     }
 
-    /// The upstreams that are followed, the one that hands over changes first.
+    /// The followed upstreams; the first one sends the changes.
     pub fn followed(&self) -> impl Iterator<Item = K> {
         self.links.iter().map(|link| link.key)
     }
 
-    /// Handles what happened at `now`.
+    /// Handles an event at `now`.
     pub fn handle(&mut self, now: Duration, event: Event<K>) -> Vec<Action<K>> {
         let mut actions = Vec::new();
         match event {
             Event::Answer { answer, from } => self.answer(now, from, answer, &mut actions),
-            Event::Lost(key) => self.leave(now, key, &mut actions),
+            Event::Lost(key) => self.drop_upstream(now, key, &mut actions),
             Event::Tick => self.tick(now, &mut actions),
-            Event::Upstreams(upstreams) => self.prefer(upstreams, &mut actions),
+            Event::Upstreams(upstreams) => self.set_upstreams(upstreams, &mut actions),
         }
-        self.fill(now, &mut actions);
+        self.fill_links(now, &mut actions);
         actions
     }
 
-    /// When the follower next needs [`Event::Tick`].
+    /// Time of the next [`Event::Tick`] that is needed.
     pub fn wake(&self) -> Option<Duration> {
-        let silent = self.links.iter().map(|link| link.asked + ASK_TIMEOUT);
-        let behind = self.behind.map(|since| since + LAG);
-        let rested = self.resting.values().copied();
-        silent.chain(behind).chain(rested).min()
+        let timeouts = self.links.iter().map(|link| link.last_poll + ASK_TIMEOUT);
+        let lagging = self.behind_since.map(|since| since + MAX_LAG);
+        let retries = self.backoff.values().copied();
+        timeouts.chain(lagging).chain(retries).min()
     }
 
     fn answer(&mut self, now: Duration, from: K, answer: Answer, actions: &mut Vec<Action<K>>) {
@@ -160,32 +162,32 @@
             actions.push(Action::Take(answer.revision));
         }
         if !answer.confirmed {
-            return self.leave(now, from, actions);
+            return self.drop_upstream(now, from, actions);
         }
         self.confirmed |= self.revision >= answer.revision;
         let mut pending = 0;
         if let Some(link) = self.links.get_mut(index) {
             link.pending = link.pending.saturating_sub(1);
-            link.seen = link.seen.max(answer.revision);
+            link.revision = link.revision.max(answer.revision);
             pending = link.pending;
         }
-        self.notice(now);
+        self.update_lag(now);
         if pending == 0 {
-            self.ask(now, index, actions);
+            self.poll(now, index, actions);
         }
     }
 
-    /// Asks the upstream at `index`: the first for changes, the others for their revision.
-    fn ask(&mut self, now: Duration, index: usize, actions: &mut Vec<Action<K>>) {
+    /// Polls the upstream at `index`: the first for the changes, the others for their revision.
+    fn poll(&mut self, now: Duration, index: usize, actions: &mut Vec<Action<K>>) {
         let revision = self.revision;
         if let Some(link) = self.links.get_mut(index) {
-            link.asked = now;
+            link.last_poll = now;
             link.pending += 1;
             let ask = Ask {
                 brief: index > 0,
                 fresh: !self.confirmed,
                 revision: if index > 0 {
-                    link.seen.max(revision)
+                    link.revision.max(revision)
                 } else {
                     revision
                 },
@@ -195,52 +197,52 @@
         }
     }
 
-    /// Follows as many upstreams as it should, as far as there are any.
-    fn fill(&mut self, now: Duration, actions: &mut Vec<Action<K>>) {
-        while self.links.len() < LINKS {
+    /// Follows further upstreams, up to the limit, as long as any are available.
+    fn fill_links(&mut self, now: Duration, actions: &mut Vec<Action<K>>) {
+        while self.links.len() < MAX_LINKS {
             let free = self.upstreams.iter().copied().find(|key| {
-                !self.resting.contains_key(key) && !self.links.iter().any(|link| link.key == *key)
+                !self.backoff.contains_key(key) && !self.links.iter().any(|link| link.key == *key)
             });
             let Some(key) = free else {
                 return;
             };
             self.links.push(Link {
-                asked: now,
                 key,
+                last_poll: now,
                 pending: 0,
-                seen: 0,
+                revision: 0,
             });
-            self.ask(now, self.links.len() - 1, actions);
+            self.poll(now, self.links.len() - 1, actions);
         }
     }
 
-    fn leave(&mut self, now: Duration, key: K, actions: &mut Vec<Action<K>>) {
+    fn drop_upstream(&mut self, now: Duration, key: K, actions: &mut Vec<Action<K>>) {
         let first = self.links.first().map(|link| link.key);
         let before = self.links.len();
         self.links.retain(|link| link.key != key);
         if self.links.len() == before {
             return;
         }
-        self.resting.insert(key, now + REST);
+        self.backoff.insert(key, now + UPSTREAM_BACKOFF);
         actions.push(Action::Close(key));
-        self.notice(now);
-        let ahead = |link: &Link<K>| link.seen > self.revision;
+        self.update_lag(now);
+        let ahead = |link: &Link<K>| link.revision > self.revision;
         if first == Some(key) && self.links.first().is_some_and(ahead) {
-            self.ask(now, 0, actions);
+            self.poll(now, 0, actions);
         }
     }
 
-    /// Notes since when another upstream has had a later revision.
-    fn notice(&mut self, now: Duration) {
-        let ahead = self.links.iter().any(|link| link.seen > self.revision);
-        self.behind = match (ahead, self.behind) {
+    /// Updates the time since which an upstream has had a later revision than this follower.
+    fn update_lag(&mut self, now: Duration) {
+        let ahead = self.links.iter().any(|link| link.revision > self.revision);
+        self.behind_since = match (ahead, self.behind_since) {
             (true, None) => Some(now),
             (true, since) => since,
             (false, _) => None,
         };
     }
 
-    fn prefer(&mut self, upstreams: Vec<K>, actions: &mut Vec<Action<K>>) {
+    fn set_upstreams(&mut self, upstreams: Vec<K>, actions: &mut Vec<Action<K>>) {
         self.upstreams = upstreams;
         let upstreams = &self.upstreams;
         for link in &self.links {
@@ -252,33 +254,36 @@
     }
 
     fn tick(&mut self, now: Duration, actions: &mut Vec<Action<K>>) {
-        self.resting.retain(|_, until| *until > now);
-        let silent: Vec<_> = self
+        self.backoff.retain(|_, until| *until > now);
+        let unresponsive: Vec<_> = self
             .links
             .iter()
-            .filter(|link| link.asked + ASK_TIMEOUT <= now)
+            .filter(|link| link.last_poll + ASK_TIMEOUT <= now)
             .map(|link| link.key)
             .collect();
-        for key in silent {
-            self.leave(now, key, actions);
+        for key in unresponsive {
+            self.drop_upstream(now, key, actions);
         }
-        if self.behind.is_some_and(|since| since + LAG <= now) {
-            self.behind = None;
+        if self
+            .behind_since
+            .is_some_and(|since| since + MAX_LAG <= now)
+        {
+            self.behind_since = None;
             self.promote(now, actions);
         }
     }
 
     /// Makes the upstream with the latest revision the first one.
     fn promote(&mut self, now: Duration, actions: &mut Vec<Action<K>>) {
-        let latest = self.links.iter().map(|link| link.seen).max();
+        let latest = self.links.iter().map(|link| link.revision).max();
         let index = self
             .links
             .iter()
-            .position(|link| Some(link.seen) == latest)
+            .position(|link| Some(link.revision) == latest)
             .unwrap_or_default();
         if index > 0 {
             self.links.swap(0, index);
         }
-        self.ask(now, 0, actions);
+        self.poll(now, 0, actions);
     }
 }
--- a/crates/distribution/src/gossip.rs
+++ b/crates/distribution/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Push-pull gossip: every node tells random others its revision and takes what it lacks.
+//! Push-pull gossip: every node sends its revision to random others and pulls the changes it lacks.
 
 use std::time::Duration;
 
@@ -9,34 +9,34 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    machine::{
+    node_key::NodeKey,
+    state_machine::{
         Action,
         Event,
-        Machine,
-        Payload, //
+        Payload,
+        StateMachine, //
     },
-    node_key::NodeKey,
 };
 
-/// Nodes that are told of a new revision at once.
+/// Number of random nodes that a new revision is pushed to.
 const FANOUT: usize = 4;
 
-/// Time between two rounds with one random node.
-const ROUND: Duration = Duration::from_secs(1);
+/// Interval between rounds; each contacts one random node.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What nodes send each other.
+/// A message between nodes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Message {
-    /// Hands over what changed up to a revision.
+    /// Sends the changes up to a revision.
     Delta {
-        /// Changes of sections.
+        /// Number of section changes.
         changes: u64,
         /// The sender's revision.
         revision: u64,
     },
-    /// Asks for what changed since the sender's revision.
+    /// Requests the changes since the sender's revision.
     Pull(u64),
-    /// Tells the sender's revision.
+    /// Announces the sender's revision.
     Push(u64),
 }
 
@@ -56,35 +56,35 @@
     }
 }
 
-/// A node that gossips with random others.
+/// A node that exchanges revisions with random others.
 #[derive(Clone, Debug)]
 pub struct Gossip {
+    next_round: Duration,
     nodes: u32,
-    pulled: u64,
+    requested: u64,
     revision: u64,
     rng: ChaCha8Rng,
-    round: Duration,
 }
 
 impl Gossip {
-    /// Creates one node of a network of `nodes`, with a seed of its own.
+    /// Creates a node of a network of `nodes`, with its own random seed.
     pub fn new(nodes: u32, seed: u64) -> Self {
         Self {
+            next_round: Duration::ZERO,
             nodes,
-            pulled: 0,
+            requested: 0,
             revision: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            round: Duration::ZERO,
         }
     }
 
-    fn peer(&mut self) -> NodeKey {
+    fn random_peer(&mut self) -> NodeKey {
         NodeKey(self.rng.random_range(0..self.nodes))
     }
 
     fn push(&mut self, count: usize, actions: &mut Vec<Action<Message>>) {
         for _ in 0..count {
-            let to = self.peer();
+            let to = self.random_peer();
             let message = Message::Push(self.revision);
             actions.push(Action::Send { message, to });
         }
@@ -105,8 +105,8 @@
                 actions.push(Action::Send { message, to: from });
             }
             Message::Pull(_) => {}
-            Message::Push(revision) if revision > self.revision.max(self.pulled) => {
-                self.pulled = revision;
+            Message::Push(revision) if revision > self.revision.max(self.requested) => {
+                self.requested = revision;
                 let message = Message::Pull(self.revision);
                 actions.push(Action::Send { message, to: from });
             }
@@ -118,18 +118,18 @@
         }
     }
 
-    /// Begins a round, and forgets a pull that was not answered since the last one.
-    fn round(&mut self, now: Duration, actions: &mut Vec<Action<Message>>) {
-        if self.round <= now {
-            self.round = now + ROUND;
-            self.pulled = 0;
+    /// Starts a round if one is due, and allows a pull that was not answered to be repeated.
+    fn start_round(&mut self, now: Duration, actions: &mut Vec<Action<Message>>) {
+        if self.next_round <= now {
+            self.next_round = now + ROUND_INTERVAL;
+            self.requested = 0;
             self.push(1, actions);
         }
-        actions.push(Action::Wake(self.round));
+        actions.push(Action::Wake(self.next_round));
     }
 }
 
-impl Machine for Gossip {
+impl StateMachine for Gossip {
     type Message = Message;
 
     fn handle(&mut self, now: Duration, event: Event<Message>) -> Vec<Action<Message>> {
@@ -141,10 +141,10 @@
                 self.push(FANOUT, &mut actions);
             }
             Event::Start => {
-                self.round = now + self.rng.random_range(Duration::ZERO..ROUND);
-                actions.push(Action::Wake(self.round));
+                self.next_round = now + self.rng.random_range(Duration::ZERO..ROUND_INTERVAL);
+                actions.push(Action::Wake(self.next_round));
             }
-            Event::Wake => self.round(now, &mut actions),
+            Event::Wake => self.start_round(now, &mut actions),
         }
         actions
     }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,19 +1,19 @@
-//! How the document in force reaches every instance, as pure state machines.
+//! Distribution of the document in force to every instance, as pure state machines.
 //!
-//! An instance follows two upstreams with a [`Follower`]: the first hands it the sections that
-//! changed, the second its revision only, so that an upstream that is silent, isolated or behind
-//! is noticed and left. [`Changes`] answers followers with just the sections that they lack.
-//! [`Relay`], [`Gossip`] and [`Tree`] are whole nodes of a network behind one trait, [`Machine`],
-//! so that ways of distribution can be weighed against each other.
+//! An instance follows two upstreams with a [`Follower`]: the first sends the sections that
+//! changed, the second only its revision, so that an upstream that is unresponsive, isolated or
+//! behind is detected and replaced. [`Changes`] computes the sections that a follower lacks.
+//! [`Relay`], [`Gossip`] and [`Tree`] are complete nodes of a network that implement one trait,
+//! [`StateMachine`], so that distribution strategies can be compared.
 
 mod changes;
-mod feed;
 mod follower;
 mod gossip;
-mod machine;
 mod node_key;
+mod poll_queue;
 mod rank;
 mod relay;
+mod state_machine;
 mod tree;
 mod tree_message;
 
@@ -21,13 +21,9 @@
     changes::{
         Changes,
         Delta,
-        REMOVED,
+        MAX_REMOVED,
         Section, //
     },
-    feed::{
-        Feed,
-        WAIT, //
-    },
     follower::{
         ASK_TIMEOUT,
         Action as FollowerAction,
@@ -35,22 +31,26 @@
         Ask,
         Event as FollowerEvent,
         Follower,
-        LAG,
-        LINKS,
-        REST, //
+        MAX_LAG,
+        MAX_LINKS,
+        UPSTREAM_BACKOFF, //
     },
     gossip::Gossip,
-    machine::{
-        Action,
-        Event,
-        Machine,
-        Payload, //
-    },
     node_key::NodeKey,
+    poll_queue::{
+        PollQueue,
+        WAIT, //
+    },
     rank::{
         Candidate,
         rank, //
     },
     relay::Relay,
-    tree::Tree,
+    state_machine::{
+        Action,
+        Event,
+        Payload,
+        StateMachine, //
+    },
+    tree::Tree, //
 };
--- a/crates/distribution/src/node_key.rs
+++ b/crates/distribution/src/node_key.rs
@@ -1,5 +1,5 @@
-//! Keys of a network's nodes.
+//! Keys of the nodes in a network.
 
-/// A node of a network, as its index.
+/// A node's index in its network.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct NodeKey(pub u32);
--- a/crates/distribution/src/rank.rs
+++ b/crates/distribution/src/rank.rs
@@ -1,4 +1,4 @@
-//! The order in which an instance prefers its upstreams.
+//! An instance's order of preference among upstreams.
 
 use std::{
     cmp::Reverse,
@@ -10,23 +10,24 @@
 
 use siphasher::sip::SipHasher13;
 
-/// An instance that may be followed.
+/// A candidate for an upstream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Candidate<K> {
-    /// How far it is: 0 in the follower's own data centre, else more the further it is.
+    /// Distance: 0 in the follower's own data centre, larger the farther away.
     pub distance: u32,
-    /// What it is reached by.
+    /// Key that identifies it, such as its address.
     pub key: K,
-    /// Its name.
+    /// Name.
     pub name: Box<str>,
 }
 
-/// Orders candidates for the instance `name`.
+/// Returns the candidates in order of preference for the instance `name`.
 ///
-/// The nearest go first, those of one distance by highest random weight (Thaler and Ravishankar,
-/// 1998), so that followers spread evenly and a candidate more or less moves only those that it
-/// wins or held. Of the own data centre one stays in front and the others go last, so that the
-/// first two do not fail together.
+/// The nearest come first. Candidates at the same distance are ordered by rendezvous (highest
+/// random weight) hashing (Thaler and Ravishankar, 1998), so that followers spread evenly, and
+/// adding or removing a candidate moves only the followers that it gains or loses. Only one
+/// candidate of the own data centre comes first and the others come last, so that the first two do
+/// not fail together.
 pub fn rank<K: Copy>(name: &str, mut candidates: Vec<Candidate<K>>) -> Vec<K> {
     candidates.sort_by_cached_key(|candidate| {
         let mut hasher = SipHasher13::new();
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -1,34 +1,34 @@
-//! A node that follows others and is followed itself.
+//! A node that follows upstreams and has followers itself.
 
 use std::time::Duration;
 
 use crate::{
-    feed::Feed,
     follower::{
         self,
         Answer,
         Ask,
         Follower, //
     },
-    machine::{
+    node_key::NodeKey,
+    poll_queue::PollQueue,
+    state_machine::{
         Action,
         Event,
-        Machine,
-        Payload, //
+        Payload,
+        StateMachine, //
     },
-    node_key::NodeKey,
 };
 
-/// What followers and their upstreams send each other.
+/// A message between a follower and its upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Message {
-    /// Asks for a later revision.
+    /// Polls for a later revision.
     Ask(Ask),
-    /// Answers an ask.
+    /// Answers a poll.
     Answer {
         /// The answer.
         answer: Answer,
-        /// Changes of sections that come along.
+        /// Number of section changes in the answer.
         changes: u64,
     },
 }
@@ -42,7 +42,7 @@
     }
 
     fn fixed_bytes(&self) -> u64 {
-        // The calls' frames: length, kind, call id, trace context and deadline, and the fields.
+        // An RPC frame: length, kind, call id, trace context, deadline and the fields.
         match self {
             Self::Answer { .. } => 24,
             Self::Ask(_) => 56,
@@ -50,14 +50,14 @@
     }
 }
 
-/// A node that follows its upstreams, if it has any, and answers those that follow it.
+/// A node that follows its upstreams, if any, and answers its followers.
 ///
-/// Which upstreams it has makes the shape of the network: the stores alone make a direct follow,
-/// nodes chosen by rendezvous a tree of relays.
+/// The choice of upstreams determines the topology: with only the stores, every node follows them
+/// directly; with nodes chosen by rendezvous hashing, the relays form a tree.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    feed: Feed<NodeKey>,
     follower: Follower<NodeKey>,
+    polls: PollQueue<NodeKey>,
     published: u64,
     upstreams: Vec<NodeKey>,
 }
@@ -66,8 +66,8 @@
     /// Creates a node that follows `upstreams`, the most preferred first; none for a store.
     pub const fn new(upstreams: Vec<NodeKey>) -> Self {
         Self {
-            feed: Feed::new(),
             follower: Follower::new(),
+            polls: PollQueue::new(),
             published: 0,
             upstreams,
         }
@@ -77,7 +77,7 @@
         self.upstreams.is_empty() || self.follower.confirmed()
     }
 
-    fn follow(
+    fn drive_follower(
         &mut self,
         now: Duration,
         event: follower::Event<NodeKey>,
@@ -95,7 +95,7 @@
     }
 }
 
-impl Machine for Relay {
+impl StateMachine for Relay {
     type Message = Message;
 
     fn handle(&mut self, now: Duration, event: Event<Message>) -> Vec<Action<Message>> {
@@ -104,19 +104,19 @@
             Event::Message { from, message } => match message {
                 Message::Answer { answer, .. } => {
                     let event = follower::Event::Answer { answer, from };
-                    self.follow(now, event, &mut actions);
+                    self.drive_follower(now, event, &mut actions);
                 }
-                Message::Ask(ask) => self.feed.ask(now, from, ask),
+                Message::Ask(ask) => self.polls.push(now, from, ask),
             },
             Event::Publish(revision) => self.published = self.published.max(revision),
             Event::Start => {
                 let event = follower::Event::Upstreams(self.upstreams.clone());
-                self.follow(now, event, &mut actions);
+                self.drive_follower(now, event, &mut actions);
             }
-            Event::Wake => self.follow(now, follower::Event::Tick, &mut actions),
+            Event::Wake => self.drive_follower(now, follower::Event::Tick, &mut actions),
         }
         let revision = self.revision();
-        for (to, ask, answer) in self.feed.due(now, revision, self.confirmed()) {
+        for (to, ask, answer) in self.polls.take_due(now, revision, self.confirmed()) {
             let changes = match answer.update {
                 true => revision - ask.revision,
                 false => 0,
@@ -124,7 +124,11 @@
             let message = Message::Answer { answer, changes };
             actions.push(Action::Send { message, to });
         }
-        let wake = self.feed.wake().into_iter().chain(self.follower.wake());
+        let wake = self
+            .polls
+            .next_timeout()
+            .into_iter()
+            .chain(self.follower.wake());
         actions.extend(wake.min().map(Action::Wake));
         actions
     }
--- a/crates/distribution/src/machine.rs
+++ b/crates/distribution/src/state_machine.rs
@@ -1,10 +1,10 @@
-//! What every way of distribution has in common.
+//! The interface of all distribution strategies.
 
 use std::time::Duration;
 
 use crate::node_key::NodeKey;
 
-/// What happens to a node.
+/// An event at a node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event<M> {
     /// Another node's message arrived.
@@ -14,45 +14,45 @@
         /// The message.
         message: M,
     },
-    /// A new revision was accepted at this node, which is a store.
+    /// A new revision was accepted; the node is a store.
     Publish(u64),
     /// The node starts.
     Start,
-    /// A time that the node asked for has come.
+    /// A wake-up that the node requested is due.
     Wake,
 }
 
-/// What a node wants done.
+/// An action that a node requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action<M> {
     /// Send a message.
     Send {
         /// The message.
         message: M,
-        /// The receiver.
+        /// The recipient.
         to: NodeKey,
     },
-    /// Wake the node at that time; an earlier wake-up that is still due stays.
+    /// Wake the node at that time; it does not replace an earlier pending wake-up.
     Wake(Duration),
 }
 
-/// A message whose size can be told.
+/// A message of known size.
 pub trait Payload {
-    /// Changes of sections that the message carries.
+    /// Number of section changes in the message.
     fn changes(&self) -> u64;
 
-    /// Size of the message without its changes and the transport's headers, in bytes.
+    /// Size in bytes, without section changes and transport headers.
     fn fixed_bytes(&self) -> u64;
 }
 
 /// One node of a network that distributes revisions.
-pub trait Machine {
-    /// What nodes send each other.
+pub trait StateMachine {
+    /// Messages between nodes.
     type Message: Payload;
 
-    /// Handles what happened at `now`, the time since the start of the network.
+    /// Handles an event at `now`, the time since the network was started.
     fn handle(&mut self, now: Duration, event: Event<Self::Message>) -> Vec<Action<Self::Message>>;
 
-    /// The revision that is in force at the node.
+    /// The node's revision in force.
     fn revision(&self) -> u64;
 }
--- a/crates/distribution/src/tree.rs
+++ b/crates/distribution/src/tree.rs
@@ -1,9 +1,9 @@
 //! A random-contact tree with depth repair.
 //!
-//! After Zhu and Hajek, "Tree dynamics for peer-to-peer streaming", for one tree: a node without
-//! a parent joins a random node or takes the place of one of its children (add and insert), and a
-//! node moves below a random one that stands higher (jump) or changes places with a leaf (swap).
-//! The paper's links change at once and its depths are exact; here both travel in messages.
+//! Follows Zhu and Hajek, "Tree dynamics for peer-to-peer streaming", for a single tree. A node
+//! without a parent joins a random node (add) or replaces one of its children (insert). A node
+//! moves below a random node closer to the root (jump) or exchanges positions with a leaf (swap).
+//! In the paper, links change at once and depths are exact; here both are updated by messages.
 
 use std::time::Duration;
 
@@ -14,83 +14,83 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    machine::{
+    node_key::NodeKey,
+    state_machine::{
         Action,
         Event,
-        Machine, //
+        StateMachine, //
     },
-    node_key::NodeKey,
-    tree_message::Message,
+    tree_message::Message, //
 };
 
-/// Time between two signs of life on a link.
-const BEAT: Duration = Duration::from_secs(2);
+/// Default interval between heartbeats on a link.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time between two contacts of a random node.
-const CONTACT: Duration = Duration::from_secs(1);
+/// Interval between contacts with random nodes.
+const CONTACT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Depth at which a node takes itself to be on a cycle.
-const DEEPEST: u32 = 64;
+/// Depth at which a node assumes that it is part of a cycle.
+const MAX_DEPTH: u32 = 64;
 
-/// Signs of life that may be missed before a silent parent or child is given up.
-const MISSED: u32 = 2;
+/// Heartbeat intervals without a message after which a parent or child is considered lost.
+const MAX_MISSED: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
 struct Child {
-    heard: Duration,
     key: NodeKey,
+    last_seen: Duration,
     revision: u64,
 }
 
-/// A node of a tree that random contacts build and repair.
+/// A node of a tree that is built and repaired by random contacts.
 #[derive(Clone, Debug)]
 pub struct Tree {
-    beat: Duration,
     children: Vec<Child>,
-    contact: Duration,
-    cycle: Duration,
     degree: usize,
     depth: Option<u32>,
-    heard: Duration,
+    interval: Duration,
     key: NodeKey,
+    last_seen: Duration,
+    next_contact: Duration,
+    next_heartbeat: Duration,
     nodes: u32,
     parent: Option<NodeKey>,
+    pending_parent: Option<NodeKey>,
     revision: u64,
     rng: ChaCha8Rng,
     root: bool,
-    wanted: Option<NodeKey>,
 }
 
 type Actions = Vec<Action<Message>>;
 
 impl Tree {
-    /// Creates the node `key` of a network of `nodes`, with `degree` children at most.
+    /// Creates the node `key` of a network of `nodes`, with at most `degree` children.
     pub fn new(key: NodeKey, nodes: u32, degree: usize, root: bool) -> Self {
         Self {
-            beat: Duration::ZERO,
             children: Vec::new(),
-            contact: Duration::ZERO,
-            cycle: BEAT,
             degree,
             depth: root.then_some(0),
-            heard: Duration::ZERO,
+            interval: HEARTBEAT_INTERVAL,
             key,
+            last_seen: Duration::ZERO,
+            next_contact: Duration::ZERO,
+            next_heartbeat: Duration::ZERO,
             nodes,
             parent: None,
+            pending_parent: None,
             revision: 0,
             rng: ChaCha8Rng::seed_from_u64(u64::from(key.0)),
             root,
-            wanted: None,
         }
     }
 
-    /// Sets the time between two signs of life on a link.
-    pub const fn with_beat(mut self, beat: Duration) -> Self {
-        self.cycle = beat;
+    /// Sets the interval between heartbeats on a link.
+    pub const fn with_heartbeat(mut self, interval: Duration) -> Self {
+        self.interval = interval;
         self
     }
 
-    /// The node's depth; none if it knows no way to a root.
+    /// The node's depth; none if it has no path to a root.
     pub const fn depth(&self) -> Option<u32> {
         self.depth
     }
@@ -98,35 +98,37 @@
     fn receive(&mut self, now: Duration, from: NodeKey, message: Message, out: &mut Actions) {
         match message {
             Message::Accept { child, depth } => self.accepted(now, from, child, depth, out),
-            Message::Attach { place, revision } => self.attach(now, from, place, revision, out),
-            Message::Beat(revision) => self.beaten(now, from, revision, out),
-            Message::Contact => send(out, from, self.standing()),
-            Message::Delta { revision, .. } => self.take(now, from, revision, out),
+            Message::Attach { replaces, revision } => {
+                self.attach(now, from, replaces, revision, out)
+            }
+            Message::Contact => send(out, from, self.status()),
+            Message::Delta { revision, .. } => self.receive_delta(now, from, revision, out),
             Message::Deny => self.denied(from, out),
             Message::Depth(depth) if self.parent == Some(from) => {
-                self.heard = now;
-                self.sink(depth, out);
+                self.last_seen = now;
+                self.set_depth(depth, out);
             }
             Message::Depth(_) => {}
             Message::Detach => self.children.retain(|child| child.key != from),
+            Message::Heartbeat(revision) => self.heartbeat(now, from, revision, out),
             Message::Moved(parent) if self.parent == Some(from) => {
                 self.parent = Some(parent);
-                self.heard = now;
-                send(out, parent, Message::Beat(self.revision));
+                self.last_seen = now;
+                send(out, parent, Message::Heartbeat(self.revision));
             }
             Message::Moved(_) => {}
-            Message::Standing {
+            Message::Status {
                 child,
                 depth: Some(depth),
                 free,
                 parent,
-            } => self.weigh(from, child, depth, free, parent, out),
-            Message::Standing { depth: None, .. } => {}
+            } => self.decide_move(from, child, depth, free, parent, out),
+            Message::Status { depth: None, .. } => {}
             Message::Swap(parent) => self.swap(now, from, parent, out),
         }
     }
 
-    /// Takes the place below a parent that accepted this node.
+    /// Moves this node below the parent that accepted it.
     fn accepted(
         &mut self,
         now: Duration,
@@ -135,43 +137,43 @@
         depth: Option<u32>,
         out: &mut Actions,
     ) {
-        if self.wanted.take() != Some(from) {
+        if self.pending_parent.take() != Some(from) {
             return send(out, from, Message::Detach);
         }
         if let Some(old) = self.parent.filter(|old| *old != from) {
             send(out, old, Message::Detach);
         }
         self.parent = Some(from);
-        self.heard = now;
+        self.last_seen = now;
         if let Some(child) = child.filter(|child| *child != self.key) {
             self.adopt(now, child, self.revision);
         }
-        self.sink(depth, out);
+        self.set_depth(depth, out);
     }
 
     fn adopt(&mut self, now: Duration, key: NodeKey, revision: u64) {
         self.children.retain(|child| child.key != key);
         self.children.push(Child {
-            heard: now,
             key,
+            last_seen: now,
             revision,
         });
     }
 
-    /// Takes a new child into a free place, or into the place of another child.
+    /// Accepts a new child if the degree allows it, or in place of another child.
     fn attach(
         &mut self,
         now: Duration,
         from: NodeKey,
-        place: Option<NodeKey>,
+        replaces: Option<NodeKey>,
         revision: u64,
         out: &mut Actions,
     ) {
-        let below = self.parent == Some(from) || self.depth.is_none();
+        let unfit = self.parent == Some(from) || self.depth.is_none();
         let known = self.children.iter().any(|child| child.key == from);
-        let child = place.filter(|key| self.children.iter().any(|child| child.key == *key));
+        let child = replaces.filter(|key| self.children.iter().any(|child| child.key == *key));
         let full = self.children.len() >= self.degree && !known;
-        if below || (full && child.is_none()) {
+        if unfit || (full && child.is_none()) {
             return send(out, from, Message::Deny);
         }
         if let Some(child) = child.filter(|_| full) {
@@ -182,33 +184,33 @@
         let depth = self.depth;
         let child = child.filter(|_| full);
         send(out, from, Message::Accept { child, depth });
-        self.hand(out);
+        self.send_deltas(out);
     }
 
-    fn beaten(&mut self, now: Duration, from: NodeKey, revision: u64, out: &mut Actions) {
+    fn heartbeat(&mut self, now: Duration, from: NodeKey, revision: u64, out: &mut Actions) {
         match self.children.iter_mut().find(|child| child.key == from) {
             Some(child) => {
-                child.heard = now;
+                child.last_seen = now;
                 child.revision = revision;
                 send(out, from, Message::Depth(self.depth));
-                self.hand(out);
+                self.send_deltas(out);
             }
             None => send(out, from, Message::Deny),
         }
     }
 
     fn denied(&mut self, from: NodeKey, out: &mut Actions) {
-        if self.wanted == Some(from) {
-            self.wanted = None;
+        if self.pending_parent == Some(from) {
+            self.pending_parent = None;
         }
         if self.parent == Some(from) {
             self.parent = None;
-            self.sink(None, out);
+            self.set_depth(None, out);
         }
     }
 
-    /// Hands each child what it lacks.
-    fn hand(&mut self, out: &mut Actions) {
+    /// Sends each child the changes that it lacks.
+    fn send_deltas(&mut self, out: &mut Actions) {
         for child in &mut self.children {
             if child.revision < self.revision {
                 let message = Message::Delta {
@@ -221,14 +223,14 @@
         }
     }
 
-    /// Takes the depth below a parent of `depth`, and tells the children if it changed.
-    fn sink(&mut self, depth: Option<u32>, out: &mut Actions) {
+    /// Sets the depth below a parent of `depth`, and sends it to the children if it changed.
+    fn set_depth(&mut self, depth: Option<u32>, out: &mut Actions) {
         if self.root {
             return;
         }
         let depth = depth
             .map(|depth| depth + 1)
-            .filter(|depth| *depth < DEEPEST);
+            .filter(|depth| *depth < MAX_DEPTH);
         if depth == self.depth {
             return;
         }
@@ -241,8 +243,8 @@
         }
     }
 
-    fn standing(&self) -> Message {
-        Message::Standing {
+    fn status(&self) -> Message {
+        Message::Status {
             child: self.children.first().map(|child| child.key),
             depth: self.depth,
             free: self.children.len() < self.degree,
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Changes places with a node that stands deeper and has children, if this is still a leaf.
+    /// Exchanges positions with a deeper node that has children, if this node is still a leaf.
     fn swap(&mut self, now: Duration, from: NodeKey, parent: NodeKey, out: &mut Actions) {
         let Some(own) = self.parent else {
             return;
@@ -261,26 +263,26 @@
         send(out, own, Message::Detach);
         send(out, from, Message::Moved(own));
         self.parent = None;
-        self.heard = now;
-        self.want(parent, Some(from), out);
+        self.last_seen = now;
+        self.request_attach(parent, Some(from), out);
     }
 
-    fn take(&mut self, now: Duration, from: NodeKey, revision: u64, out: &mut Actions) {
+    fn receive_delta(&mut self, now: Duration, from: NodeKey, revision: u64, out: &mut Actions) {
         if self.parent == Some(from) {
-            self.heard = now;
+            self.last_seen = now;
         }
         self.revision = self.revision.max(revision);
-        self.hand(out);
+        self.send_deltas(out);
     }
 
-    fn want(&mut self, parent: NodeKey, place: Option<NodeKey>, out: &mut Actions) {
-        self.wanted = Some(parent);
+    fn request_attach(&mut self, parent: NodeKey, replaces: Option<NodeKey>, out: &mut Actions) {
+        self.pending_parent = Some(parent);
         let revision = self.revision;
-        send(out, parent, Message::Attach { place, revision });
+        send(out, parent, Message::Attach { replaces, revision });
     }
 
-    /// Decides whether to join, insert, jump or swap after a contact.
-    fn weigh(
+    /// Decides whether to add, insert, jump or swap after a contact.
+    fn decide_move(
         &mut self,
         from: NodeKey,
         child: Option<NodeKey>,
@@ -291,11 +293,11 @@
     ) {
         match (self.parent, self.depth) {
             _ if self.root || from == self.key => {}
-            (None, _) if free => self.want(from, None, out),
+            (None, _) if free => self.request_attach(from, None, out),
             (None, _) if child.is_some() && self.children.len() < self.degree => {
-                self.want(from, child, out);
+                self.request_attach(from, child, out);
             }
-            (Some(_), Some(own)) if free && depth + 1 < own => self.want(from, None, out),
+            (Some(_), Some(own)) if free && depth + 1 < own => self.request_attach(from, None, out),
             (Some(old), Some(own))
                 if own > depth
                     && child.is_none()
@@ -310,27 +312,28 @@
     }
 
     fn wake(&mut self, now: Duration, out: &mut Actions) {
-        let silence = self.cycle * MISSED;
-        self.children.retain(|child| child.heard + silence > now);
-        if self.parent.is_some() && self.heard + silence <= now {
+        let timeout = self.interval * MAX_MISSED;
+        self.children
+            .retain(|child| child.last_seen + timeout > now);
+        if self.parent.is_some() && self.last_seen + timeout <= now {
             self.parent = None;
-            self.sink(None, out);
+            self.set_depth(None, out);
         }
-        if self.beat <= now {
-            self.beat = now + self.cycle;
+        if self.next_heartbeat <= now {
+            self.next_heartbeat = now + self.interval;
             if let Some(parent) = self.parent {
-                send(out, parent, Message::Beat(self.revision));
+                send(out, parent, Message::Heartbeat(self.revision));
             }
         }
-        if self.contact <= now {
-            self.contact = now + CONTACT;
-            self.wanted = None;
+        if self.next_contact <= now {
+            self.next_contact = now + CONTACT_INTERVAL;
+            self.pending_parent = None;
             if !self.root {
                 let to = NodeKey(self.rng.random_range(0..self.nodes));
                 send(out, to, Message::Contact);
             }
         }
-        out.push(Action::Wake(self.beat.min(self.contact)));
+        out.push(Action::Wake(self.next_heartbeat.min(self.next_contact)));
     }
 }
 
@@ -338,7 +341,7 @@
     out.push(Action::Send { message, to });
 }
 
-impl Machine for Tree {
+impl StateMachine for Tree {
     type Message = Message;
 
     fn handle(&mut self, now: Duration, event: Event<Message>) -> Vec<Action<Message>> {
@@ -347,12 +350,12 @@
             Event::Message { from, message } => self.receive(now, from, message, &mut out),
             Event::Publish(revision) => {
                 self.revision = self.revision.max(revision);
-                self.hand(&mut out);
+                self.send_deltas(&mut out);
             }
             Event::Start => {
-                self.beat = now + self.rng.random_range(Duration::ZERO..self.cycle);
-                self.contact = now + self.rng.random_range(Duration::ZERO..CONTACT);
-                out.push(Action::Wake(self.beat.min(self.contact)));
+                self.next_heartbeat = now + self.rng.random_range(Duration::ZERO..self.interval);
+                self.next_contact = now + self.rng.random_range(Duration::ZERO..CONTACT_INTERVAL);
+                out.push(Action::Wake(self.next_heartbeat.min(self.next_contact)));
             }
             Event::Wake => self.wake(now, &mut out),
         }
--- a/crates/distribution/src/tree_message.rs
+++ b/crates/distribution/src/tree_message.rs
@@ -1,58 +1,58 @@
-//! What the nodes of a random-contact tree send each other.
+//! Messages between the nodes of a random-contact tree.
 
 use crate::{
-    machine::Payload,
-    node_key::NodeKey, //
+    node_key::NodeKey,
+    state_machine::Payload, //
 };
 
-/// What nodes send each other.
+/// A message between nodes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Message {
     /// The receiver is now the sender's child.
     Accept {
         /// The sender's depth.
         depth: Option<u32>,
-        /// A child of the sender that the receiver takes over.
+        /// A former child of the sender that is now the receiver's child.
         child: Option<NodeKey>,
     },
-    /// Asks to become the receiver's child.
+    /// Requests to become the receiver's child.
     Attach {
         /// The sender's revision.
         revision: u64,
-        /// The child whose place the sender takes; a free place if there is none.
-        place: Option<NodeKey>,
+        /// The child that the sender replaces if the receiver cannot accept another one.
+        replaces: Option<NodeKey>,
     },
-    /// A child's sign of life.
-    Beat(u64),
-    /// Asks a random node how it stands.
+    /// Requests the status of a random node.
     Contact,
-    /// Hands over what changed up to a revision.
+    /// Sends the changes up to a revision.
     Delta {
-        /// Changes of sections.
+        /// Number of section changes.
         changes: u64,
         /// The sender's revision.
         revision: u64,
     },
-    /// The receiver is not the sender's child, or no longer.
+    /// The receiver is not, or no longer, the sender's child.
     Deny,
     /// A parent's depth.
     Depth(Option<u32>),
     /// The sender is no longer the receiver's child.
     Detach,
+    /// A child's heartbeat, with its revision.
+    Heartbeat(u64),
     /// The receiver's parent is now another node.
     Moved(NodeKey),
-    /// How a contacted node stands.
-    Standing {
+    /// The status of a contacted node.
+    Status {
         /// One of its children.
         child: Option<NodeKey>,
         /// Its depth.
         depth: Option<u32>,
-        /// Whether it has a free place.
+        /// Whether it can accept another child.
         free: bool,
         /// Its parent.
         parent: Option<NodeKey>,
     },
-    /// The receiver, a leaf, is to take the sender's place below this parent.
+    /// Requests that the receiver, a leaf, takes the sender's place below this parent.
     Swap(NodeKey),
 }
 
@@ -62,13 +62,13 @@
             Self::Delta { changes, .. } => *changes,
             Self::Accept { .. }
             | Self::Attach { .. }
-            | Self::Beat(_)
             | Self::Contact
             | Self::Deny
             | Self::Depth(_)
             | Self::Detach
+            | Self::Heartbeat(_)
             | Self::Moved(_)
-            | Self::Standing { .. }
+            | Self::Status { .. }
             | Self::Swap(_) => 0,
         }
     }
@@ -76,9 +76,9 @@
     fn fixed_bytes(&self) -> u64 {
         match self {
             Self::Accept { .. } | Self::Attach { .. } => 20,
-            Self::Beat(_) | Self::Depth(_) | Self::Moved(_) | Self::Swap(_) => 12,
+            Self::Depth(_) | Self::Heartbeat(_) | Self::Moved(_) | Self::Swap(_) => 12,
             Self::Contact | Self::Deny | Self::Detach => 4,
-            Self::Delta { .. } | Self::Standing { .. } => 24,
+            Self::Delta { .. } | Self::Status { .. } => 24,
         }
     }
 }
--- a/crates/distribution/tests/changes.rs
+++ b/crates/distribution/tests/changes.rs
@@ -1,11 +1,11 @@
-//! Deltas: applied one after another they give the same document as the whole.
+//! Tests that deltas, applied to an earlier document, give the current one.
 
 use std::collections::BTreeMap;
 
 use mimosausher_distribution::{
     Changes,
     Delta,
-    REMOVED,
+    MAX_REMOVED,
     Section, //
 };
 
@@ -58,9 +58,9 @@
 }
 
 #[test]
-fn since_forgotten_removal() {
+fn since_dropped_removal() {
     let mut changes = Changes::new();
-    let count = u64::try_from(REMOVED).unwrap() + 1;
+    let count = u64::try_from(MAX_REMOVED).unwrap() + 1;
     for step in 0..count {
         let name = format!("s{step}");
         changes.record(2 * step + 1, sections(&versions(&[(&name, 1)])));
--- a/crates/distribution/tests/follower.rs
+++ b/crates/distribution/tests/follower.rs
@@ -1,4 +1,5 @@
-//! Following: an upstream that is silent, isolated or behind is left, and revisions only grow.
+//! Tests that an unresponsive, isolated or lagging upstream is replaced and revisions never
+//! decrease.
 
 use std::time::Duration;
 
@@ -9,13 +10,13 @@
     Follower,
     FollowerAction as Action,
     FollowerEvent as Event,
-    LAG,
-    REST, //
+    MAX_LAG,
+    UPSTREAM_BACKOFF, //
 };
 
 const ZERO: Duration = Duration::ZERO;
 
-/// What a follower asks that has taken a confirmed document.
+/// The poll of a follower that has applied a confirmed document.
 fn ask(to: u32, brief: bool, revision: u64) -> Action<u32> {
     let fresh = false;
     let ask = Ask {
@@ -26,7 +27,7 @@
     Action::Ask { ask, to }
 }
 
-/// What a follower asks that has just started.
+/// The poll of a follower that has just started.
 fn first(to: u32, brief: bool) -> Action<u32> {
     let ask = Ask {
         brief,
@@ -45,7 +46,7 @@
     Event::Answer { answer, from }
 }
 
-/// A follower of the upstreams 1, 2 and 3 that has taken revision 5 from the first.
+/// A follower of the upstreams 1, 2 and 3 that has applied revision 5 from the first.
 fn settled() -> Follower<u32> {
     let mut follower = Follower::new();
     let actions = follower.handle(ZERO, Event::Upstreams(vec![1, 2, 3]));
@@ -98,8 +99,8 @@
     }
     assert_eq!(follower.followed().count(), 0);
     assert_eq!((follower.revision(), follower.confirmed()), (5, true));
-    assert_eq!(follower.wake(), Some(REST));
-    let actions = follower.handle(REST, Event::Tick);
+    assert_eq!(follower.wake(), Some(UPSTREAM_BACKOFF));
+    let actions = follower.handle(UPSTREAM_BACKOFF, Event::Tick);
     assert_eq!(actions, [ask(1, false, 5), ask(2, true, 5)]);
 }
 
@@ -108,16 +109,16 @@
     let mut follower = settled();
     let actions = follower.handle(ZERO, answer(2, true, 6, false));
     assert_eq!(actions, [ask(2, true, 6)]);
-    assert_eq!(follower.wake(), Some(LAG));
-    let actions = follower.handle(LAG, Event::Tick);
+    assert_eq!(follower.wake(), Some(MAX_LAG));
+    let actions = follower.handle(MAX_LAG, Event::Tick);
     assert_eq!(actions, [ask(2, false, 5)]);
-    let actions = follower.handle(LAG, answer(2, true, 6, true));
+    let actions = follower.handle(MAX_LAG, answer(2, true, 6, true));
     assert_eq!(actions, [Action::Take(6)]);
     assert_eq!(follower.followed().collect::<Vec<_>>(), [2, 1]);
 }
 
 #[test]
-fn tick_silent_upstream() {
+fn tick_unresponsive_upstream() {
     let mut follower = settled();
     let early = ASK_TIMEOUT - Duration::from_millis(1);
     assert_eq!(follower.handle(early, Event::Tick), []);
--- a/crates/distribution/tests/rank.rs
+++ b/crates/distribution/tests/rank.rs
@@ -1,4 +1,4 @@
-//! The order of upstreams: near ones first, evenly spread, and stable.
+//! Tests that upstreams are ordered nearest first, spread evenly, and stable.
 
 use mimosausher_distribution::{
     Candidate,
