--- a/crates/dispatch/src/observed.rs
+++ b/crates/dispatch/src/observed.rs
@@ -20,7 +20,6 @@
 /// Selects the endpoint with the fewest requests per slot, counting those of this entry and those
 /// that its peers reported. A request that finds no free slot waits. One that an endpoint refuses
 /// as full is placed again, so that the request itself is the probe. Ties are broken at random;
-/// reported loads are not used. Ties are broken at random;
 /// reported loads are not used.
 #[derive(Clone, Debug)]
 pub struct Observed<K> {
