--- a/crates/membership/benches/capacity.rs
+++ b/crates/membership/benches/capacity.rs
@@ -1,7 +1,7 @@
-//! Processor time, bytes and memory of the membership by the number of members in the view.
+//! CPU time, traffic and memory of membership by the number of members in the view.
 //!
-//! All instances of one data centre run in virtual time, each with the whole data centre in its
-//! view; the figures are for one of them.
+//! All instances of one data centre run in virtual time, each with a view of the whole data
+//! centre; the figures are per instance.
 
 use std::{
     collections::BTreeMap,
@@ -35,13 +35,13 @@
 /// Numbers of instances in the data centre.
 const SIZES: [u16; 5] = [50, 100, 200, 400, 800];
 
-/// Virtual time that is measured.
+/// Virtual time of the measurement.
 const MEASURED: Duration = Duration::from_secs(20);
 
-/// Virtual time before it, in which the first exchanges of views end.
-const SETTLING: Duration = Duration::from_secs(5);
+/// Virtual time before the measurement, in which the initial exchanges of views complete.
+const WARMUP: Duration = Duration::from_secs(5);
 
-/// Bytes of the IPv4 and UDP headers, and of a message without instances.
+/// Bytes of the IPv4 and UDP headers and of a message without instances.
 const HEADER_BYTES: usize = 28 + 6;
 
 fn address(number: u16) -> SocketAddr {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Bytes of an instance in a message.
+/// Encoded size of an instance in a message, in bytes.
 fn instance_bytes() -> usize {
     let instance = instance(1);
     let body = wire::Body::Tell;
@@ -94,10 +94,10 @@
 
 struct Net {
     bytes: usize,
-    length: usize,
+    instance_bytes: usize,
     members: BTreeMap<u16, Members>,
     now: Duration,
-    flight: Vec<(u16, Action)>,
+    in_flight: Vec<(u16, Action)>,
 }
 
 impl Net {
@@ -110,8 +110,8 @@
             .collect();
         let mut net = Self {
             bytes: 0,
-            flight: Vec::new(),
-            length: instance_bytes(),
+            in_flight: Vec::new(),
+            instance_bytes: instance_bytes(),
             members: BTreeMap::new(),
             now: Duration::from_secs(1),
         };
@@ -135,7 +135,7 @@
         let end = self.now + time;
         while self.now < end {
             self.now += TICK;
-            for (from, action) in std::mem::take(&mut self.flight) {
+            for (from, action) in std::mem::take(&mut self.in_flight) {
                 let event = Event::Received {
                     from: address(from),
                     message: Box::new(action.message),
@@ -154,8 +154,8 @@
         };
         for action in members.handle(self.now, event) {
             let instances = 1 + action.message.rumours.len();
-            self.bytes += HEADER_BYTES + instances * self.length;
-            self.flight.push((number, action));
+            self.bytes += HEADER_BYTES + instances * self.instance_bytes;
+            self.in_flight.push((number, action));
         }
     }
 }
@@ -167,18 +167,18 @@
         let before = resident().unwrap();
         let mut net = Net::new(size);
         memories.push((count, (resident().unwrap() - before).max(0.0) / count));
-        net.run(SETTLING);
+        net.run(WARMUP);
         net.bytes = 0;
         let start = Instant::now();
         net.run(MEASURED);
-        let share = count * MEASURED.as_secs_f64();
-        let nanos = start.elapsed().as_secs_f64() * 1e9 / share;
-        let sent = f64::from(u32::try_from(net.bytes).unwrap()) / share;
+        let instance_seconds = count * MEASURED.as_secs_f64();
+        let time_ns = start.elapsed().as_secs_f64() * 1e9 / instance_seconds;
+        let bytes_per_second = f64::from(u32::try_from(net.bytes).unwrap()) / instance_seconds;
         let case = format!("{size} members");
-        Figure::new("members.ns", &case, nanos, "ns/s").print();
-        Figure::new("members.bytes", &case, sent, "B/s").print();
-        times.push((count, nanos));
-        bytes.push((count, sent));
+        Figure::new("members.ns", &case, time_ns, "ns/s").print();
+        Figure::new("members.bytes", &case, bytes_per_second, "B/s").print();
+        times.push((count, time_ns));
+        bytes.push((count, bytes_per_second));
     }
     let case = "by member in view";
     Fit::new(&times).print("capacity.members_ns", case, "ns/s");
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,30 +1,30 @@
-//! What the membership takes in and gives out.
+//! Inputs and outputs of the membership protocol.
 
 use std::net::SocketAddr;
 
 use crate::message::Message;
 
-/// What happens to an instance.
+/// An input of the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A planned stop begins.
+    /// This instance begins a planned stop.
     Leave,
-    /// A message has come in.
+    /// A message was received.
     Received {
-        /// Where it came from.
+        /// Address of the sender.
         from: SocketAddr,
         /// The message.
         message: Box<Message>,
     },
-    /// Time has passed; to come every [`TICK`](crate::TICK).
+    /// Runs the timers; due every [`TICK`](crate::TICK).
     Tick,
 }
 
-/// What is to be done.
+/// A message to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Action {
-    /// The message to send.
+    /// The message.
     pub message: Message,
-    /// Inner address of its receiver.
+    /// Inner address of the receiver.
     pub to: SocketAddr,
 }
--- a/crates/membership/src/instance.rs
+++ b/crates/membership/src/instance.rs
@@ -1,26 +1,26 @@
-//! An instance as its peers know it.
+//! An instance as described in its own messages.
 
 use std::net::SocketAddr;
 
-/// What an instance says of itself in its heartbeats.
+/// An instance as described in its own messages.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Instance {
-    /// Where operators, endpoints and monitors reach it.
+    /// Address for operators, endpoints and monitors.
     pub admin: SocketAddr,
     /// Name of its data centre.
     pub centre: Box<str>,
-    /// Where packets from the fabric reach it; entries only.
+    /// Address for packets from the fabric; entries only.
     pub fabric: Option<SocketAddr>,
-    /// Grows with each start of the process.
+    /// Increases with each start of the process.
     pub incarnation: u64,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub inner: SocketAddr,
     /// Its name.
     pub name: Box<str>,
-    /// Grows with each false suspicion that it refutes.
+    /// Increases with each false suspicion that the instance refutes.
     pub refutation: u32,
-    /// Where callers' requests reach it; entries only.
+    /// Address for clients' requests; entries only.
     pub requests: Option<SocketAddr>,
-    /// Whether it keeps a replica of the configuration.
+    /// Whether it holds a replica of the configuration.
     pub store: bool,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,4 +1,4 @@
-//! Which instances are present, by probe, incarnation and suspicion.
+//! Membership of the cluster by gossip: probes, incarnations and suspicion.
 
 mod event;
 mod instance;
@@ -28,7 +28,7 @@
         Rumour, //
     },
     times::{
-        CONTACTS,
+        CONTACTS_PER_CENTRE,
         TICK, //
     },
 };
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -4,21 +4,21 @@
 
 use crate::instance::Instance;
 
-/// What is known of a member's presence; of equal incarnations the greater standing holds.
+/// State of a member; at equal incarnation and refutation the greater standing takes precedence.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Standing {
-    /// It answers.
+    /// It acknowledges probes.
     Alive,
-    /// It did not answer, and may still refute that it is dead.
+    /// It did not acknowledge a probe and may still refute the suspicion.
     Suspected,
-    /// It did not answer, nor refute it.
+    /// It did not refute the suspicion in time.
     Dead,
     /// It left by a planned stop.
     Left,
 }
 
 impl Standing {
-    /// Whether the member still counts.
+    /// Whether the member counts as present: alive or suspected.
     pub const fn present(self) -> bool {
         match self {
             Self::Alive | Self::Suspected => true,
@@ -27,13 +27,13 @@
     }
 }
 
-/// A member that an instance knows.
+/// A member in an instance's view.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
-    /// What it last said of itself.
+    /// Its latest known description.
     pub instance: Instance,
-    /// Since when it has its standing.
+    /// Time of the last change of its standing.
     pub since: Duration,
-    /// What is known of its presence.
+    /// Its standing.
     pub standing: Standing,
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,4 +1,4 @@
-//! The members that an instance knows.
+//! State machine of the membership protocol.
 
 use std::{
     collections::{
@@ -31,19 +31,19 @@
         Rumour, //
     },
     probe::{
-        Favour,
+        ForwardedProbe,
         Probe, //
     },
     times::{
-        FAREWELLS,
-        GREETINGS,
-        JOIN,
-        PERIOD,
-        REJOIN,
-        STALL,
-        SYNC,
-        SYNC_MEMBER,
-        VIEW, //
+        JOIN_FANOUT,
+        JOIN_INTERVAL,
+        LEAVE_FANOUT,
+        PROBE_INTERVAL,
+        REJOIN_INTERVAL,
+        STALL_THRESHOLD,
+        SYNC_INTERVAL,
+        SYNC_PER_MEMBER,
+        VIEW_CHUNK, //
     },
     view::{
         View,
@@ -51,26 +51,27 @@
     },
 };
 
-/// Times of the next steps.
+/// When each periodic step is next due, and when the last tick ran.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Due {
     join: Duration,
     pub(crate) probe: Duration,
     sync: Duration,
-    tick: Option<Duration>,
+    ticked: Option<Duration>,
 }
 
-/// The members that an instance knows, itself left out: all of its own data centre, all stores,
+/// The members known to an instance, excluding itself: all of its own data centre, all stores,
 /// and a few entries of each other data centre.
 ///
-/// Members are probed one a period in shuffled turns, directly and then through others, and
-/// suspected before they are taken for dead (Das, Gupta and Motivala, "SWIM", 2002). An instance
-/// that was paused itself suspects nobody for it (Dadgar, Phillips and Currey, "Lifeguard", 2018).
+/// One member is probed in each interval, in shuffled order, first directly and then through
+/// others; it is suspected before it is declared dead (Das, Gupta and Motivala, "SWIM", 2002).
+/// An instance whose process was paused suspects no member because of the pause (Dadgar, Phillips
+/// and Currey, "Lifeguard", 2018).
 #[derive(Clone, Debug)]
 pub struct Members {
     pub(crate) due: Due,
-    pub(crate) favours: BTreeMap<u64, Favour>,
-    pub(crate) greetings: usize,
+    pub(crate) forwarded: BTreeMap<u64, ForwardedProbe>,
+    pub(crate) join_fanout: usize,
     pub(crate) number: u64,
     pub(crate) probe: Option<Probe>,
     pub(crate) queue: VecDeque<Box<str>>,
@@ -80,12 +81,12 @@
 }
 
 impl Members {
-    /// Creates the view of an instance that knows nobody yet but the addresses of its seeds.
+    /// Creates the state of an instance that knows only the addresses of its seeds.
     pub fn new(own: Instance, seeds: &[SocketAddr], seed: u64) -> Self {
         Self {
             due: Due::default(),
-            favours: BTreeMap::new(),
-            greetings: GREETINGS,
+            forwarded: BTreeMap::new(),
+            join_fanout: JOIN_FANOUT,
             number: 0,
             probe: None,
             queue: VecDeque::new(),
@@ -95,46 +96,46 @@
         }
     }
 
-    /// Takes in an event and says which messages are to be sent.
+    /// Handles an event; returns the messages to send.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         match event {
             Event::Leave => self.leave(),
-            Event::Received { from, message } => self.received(now, from, *message),
+            Event::Received { from, message } => self.handle_message(now, from, *message),
             Event::Tick => self.tick(now),
         }
     }
 
-    /// Grows with each change of the members or of their standing.
+    /// Increases with each change of the members or of their standing.
     pub const fn generation(&self) -> u64 {
         self.view.generation()
     }
 
-    /// The instance itself, with the incarnation that it has now.
+    /// This instance, with its current incarnation and refutation.
     pub const fn own(&self) -> &Instance {
         self.view.own()
     }
 
-    /// The present members, alive or suspected, in the order of their names.
+    /// The present members (alive or suspected), ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &Instance> {
         self.view.iter()
     }
 
-    /// All members that are remembered, in the order of their names.
+    /// All members in the view, including dead and departed ones, ordered by name.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.view.all()
     }
 
-    /// The present entries of the own data centre, the instance itself left out.
+    /// The present entries of this instance's data centre, excluding itself.
     pub fn entries(&self) -> impl Iterator<Item = &Instance> {
         self.view.entries()
     }
 
-    /// The known entries of the other data centres that are present, by data centre.
+    /// The present entries of other data centres, by data centre.
     pub fn contacts(&self) -> BTreeMap<&str, Vec<&Instance>> {
         self.view.contacts()
     }
 
-    /// The standing of a member; none if it is not known.
+    /// The standing of a member; `None` if it is not in the view.
     pub fn standing(&self, name: &str) -> Option<Standing> {
         self.view.get(name).map(|member| member.standing)
     }
@@ -147,7 +148,7 @@
             standing: Standing::Left,
         };
         targets
-            .choose_multiple(&mut self.random, FAREWELLS)
+            .choose_multiple(&mut self.random, LEAVE_FANOUT)
             .map(|to| Action {
                 message: Message {
                     body: Body::Tell,
@@ -159,18 +160,18 @@
             .collect()
     }
 
-    fn received(&mut self, now: Duration, from: SocketAddr, message: Message) -> Vec<Action> {
+    fn handle_message(&mut self, now: Duration, from: SocketAddr, message: Message) -> Vec<Action> {
         let sender = message.from.name.clone();
         if sender == self.view.own().name && message.from.inner == self.view.own().inner {
             return Vec::new();
         }
-        self.view.learn(now, message.from, Standing::Alive);
+        self.view.merge(now, message.from, Standing::Alive);
         let mut actions = Vec::new();
         for rumour in message.rumours {
             let (to, standing) = (rumour.instance.inner, rumour.standing);
-            let new = self.view.learn(now, rumour.instance, standing);
-            if new && standing == Standing::Alive && self.greetings > 0 {
-                self.greetings -= 1;
+            let new = self.view.merge(now, rumour.instance, standing);
+            if new && standing == Standing::Alive && self.join_fanout > 0 {
+                self.join_fanout -= 1;
                 actions.push(self.view.message(to, Body::Tell));
             }
         }
@@ -178,20 +179,20 @@
             return Vec::new();
         }
         actions.extend(match message.body {
-            Body::Ack { probe } => self.acknowledged(probe),
-            Body::Join => self.whole_view(from),
-            Body::Ping { probe } => vec![self.answer(from, &sender, probe)],
-            Body::Request { probe, target } => self.favour(now, from, probe, target),
+            Body::Ack { probe } => self.handle_ack(probe),
+            Body::Join => self.full_view(from),
+            Body::Ping { probe } => vec![self.acknowledge(from, &sender, probe)],
+            Body::Request { probe, target } => self.forward_probe(now, from, probe, target),
             Body::Tell => Vec::new(),
         });
         actions
     }
 
-    /// The whole view in messages that each fit a packet.
-    fn whole_view(&mut self, to: SocketAddr) -> Vec<Action> {
+    /// The full view, split into messages that each fit a packet.
+    fn full_view(&mut self, to: SocketAddr) -> Vec<Action> {
         let rumours: Vec<_> = self.view.all().map(rumour).collect();
         let mut messages: Vec<_> = rumours
-            .chunks(VIEW)
+            .chunks(VIEW_CHUNK)
             .map(|chunk| Message {
                 body: Body::Tell,
                 from: self.view.own().clone(),
@@ -213,31 +214,37 @@
         }
         let gap = self
             .due
-            .tick
-            .map_or(Duration::ZERO, |tick| now.saturating_sub(tick));
-        self.due.tick = Some(now);
-        if gap > STALL {
-            // After a pause of its own an instance has no ground to suspect anyone.
+            .ticked
+            .map_or(Duration::ZERO, |ticked| now.saturating_sub(ticked));
+        self.due.ticked = Some(now);
+        if gap > STALL_THRESHOLD {
+            // Missing acknowledgements may be due to this instance's own pause.
             self.probe = None;
-            self.view.resume(now);
+            self.view.restart_suspicions(now);
         }
-        self.favours
-            .retain(|_, favour| now.saturating_sub(favour.sent) < PERIOD);
+        self.forwarded
+            .retain(|_, forwarded| now.saturating_sub(forwarded.sent) < PROBE_INTERVAL);
         self.view.expire(now);
-        let mut actions = self.late_probe(now);
+        let mut actions = self.check_probe(now);
         actions.extend(self.next_probe(now));
         actions.extend(self.join(now));
         actions.extend(self.sync(now));
         actions
     }
 
-    /// Reaches out to a seed while nobody is known, and now and then to one that seems dead.
+    /// Requests the view of a random absent seed or dead member, more often while no member is
+    /// present.
     fn join(&mut self, now: Duration) -> Option<Action> {
         if now < self.due.join {
             return None;
         }
         let alone = self.iter().next().is_none();
-        self.due.join = now + if alone { JOIN } else { REJOIN };
+        self.due.join = now
+            + if alone {
+                JOIN_INTERVAL
+            } else {
+                REJOIN_INTERVAL
+            };
         let present: Vec<_> = self.iter().map(|instance| instance.inner).collect();
         let dead = self.view.addresses(Standing::Dead);
         let absent: Vec<_> = self
@@ -251,7 +258,7 @@
         Some(self.view.message(to, Body::Join))
     }
 
-    /// Asks a present member for its whole view, less often the larger the own view is.
+    /// Requests the view of a random alive member, less often the larger this instance's view is.
     fn sync(&mut self, now: Duration) -> Option<Action> {
         if now < self.due.sync {
             return None;
@@ -259,7 +266,7 @@
         let count = u32::try_from(self.view.len()).unwrap_or(u32::MAX);
         let alive = self.view.addresses(Standing::Alive);
         let to = *alive.choose(&mut self.random)?;
-        self.due.sync = now + SYNC.max(SYNC_MEMBER.saturating_mul(count));
+        self.due.sync = now + SYNC_INTERVAL.max(SYNC_PER_MEMBER.saturating_mul(count));
         Some(self.view.message(to, Body::Join))
     }
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of membership.
+//! Messages of the membership protocol.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
     member::Standing, //
 };
 
-/// What an instance has heard of a member.
+/// A member and its standing as gossip between instances.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Rumour {
     /// The member.
@@ -16,22 +16,22 @@
     pub standing: Standing,
 }
 
-/// What a message is for.
+/// Purpose of a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Body {
-    /// Answers a probe.
+    /// Acknowledges a probe.
     Ack {
         /// Number of the probe.
         probe: u64,
     },
-    /// Asks for the receiver's whole view.
+    /// Requests the receiver's full view.
     Join,
-    /// Asks for an answer.
+    /// Probes the receiver, which answers with an `Ack`.
     Ping {
         /// Number of the probe.
         probe: u64,
     },
-    /// Asks the receiver to probe another member and to pass the answer on.
+    /// Requests that the receiver probe another member and forward the `Ack`.
     Request {
         /// Number of the probe.
         probe: u64,
@@ -42,13 +42,13 @@
     Tell,
 }
 
-/// A message of membership.
+/// A message of the membership protocol.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Message {
-    /// What it is for.
+    /// Its purpose.
     pub body: Body,
     /// The sender.
     pub from: Instance,
-    /// What the sender has heard.
+    /// Gossip that is piggybacked on the message.
     pub rumours: Vec<Rumour>,
 }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,11 +1,11 @@
-//! Probes whose answers are awaited.
+//! Probes that await an `Ack`.
 
 use std::{
     net::SocketAddr,
     time::Duration, //
 };
 
-/// A probe whose answer is awaited.
+/// A probe of this instance that awaits an `Ack`.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
     pub(crate) incarnation: u64,
@@ -15,10 +15,10 @@
     pub(crate) sent: Duration,
 }
 
-/// A probe that is made for another instance.
+/// A probe sent on behalf of another instance.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Favour {
-    pub(crate) asker: SocketAddr,
+pub(crate) struct ForwardedProbe {
+    pub(crate) from: SocketAddr,
     pub(crate) number: u64,
     pub(crate) sent: Duration,
 }
--- a/crates/membership/src/probing.rs
+++ b/crates/membership/src/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: the own ones in turn, and those that are made for others.
+//! Direct and indirect probes of members.
 
 use std::{
     net::SocketAddr,
@@ -13,20 +13,21 @@
     members::Members,
     message::Body,
     probe::{
-        Favour,
+        ForwardedProbe,
         Probe, //
     },
     times::{
-        INDIRECT,
-        PERIOD,
+        INDIRECT_PROBES,
+        PROBE_INTERVAL,
         PROBE_TIMEOUT, //
     },
     view::rumour, //
 };
 
 impl Members {
-    /// Answers a probe; a sender that others do not take for alive learns of it.
-    pub(crate) fn answer(&mut self, to: SocketAddr, sender: &str, probe: u64) -> Action {
+    /// Acknowledges a probe; if the sender is not known as alive, adds its standing so that it can
+    /// refute it.
+    pub(crate) fn acknowledge(&mut self, to: SocketAddr, sender: &str, probe: u64) -> Action {
         let mut action = self.view.message(to, Body::Ack { probe });
         let known = self.view.get(sender);
         if let Some(member) = known.filter(|member| member.standing != Standing::Alive) {
@@ -35,7 +36,7 @@
         action
     }
 
-    pub(crate) fn acknowledged(&mut self, number: u64) -> Vec<Action> {
+    pub(crate) fn handle_ack(&mut self, number: u64) -> Vec<Action> {
         let own = self
             .probe
             .as_ref()
@@ -44,36 +45,37 @@
             self.probe = None;
             return Vec::new();
         }
-        let Some(favour) = self.favours.remove(&number) else {
+        let Some(forwarded) = self.forwarded.remove(&number) else {
             return Vec::new();
         };
         vec![self.view.message(
-            favour.asker,
+            forwarded.from,
             Body::Ack {
-                probe: favour.number,
+                probe: forwarded.number,
             },
         )]
     }
 
-    pub(crate) fn favour(
+    pub(crate) fn forward_probe(
         &mut self,
         now: Duration,
-        asker: SocketAddr,
+        from: SocketAddr,
         number: u64,
         target: SocketAddr,
     ) -> Vec<Action> {
         let probe = self.next_number();
-        let favour = Favour {
-            asker,
+        let forwarded = ForwardedProbe {
+            from,
             number,
             sent: now,
         };
-        self.favours.insert(probe, favour);
+        self.forwarded.insert(probe, forwarded);
         vec![self.view.message(target, Body::Ping { probe })]
     }
 
-    /// Passes a late probe on to others, and suspects the member at the end of the period.
-    pub(crate) fn late_probe(&mut self, now: Duration) -> Vec<Action> {
+    /// Requests indirect probes after [`PROBE_TIMEOUT`], and suspects the member after
+    /// [`PROBE_INTERVAL`].
+    pub(crate) fn check_probe(&mut self, now: Duration) -> Vec<Action> {
         let Some(probe) = self.probe.clone() else {
             return Vec::new();
         };
@@ -85,21 +87,22 @@
             .map(|member| (member.instance.inner, member.standing));
         match target {
             None => self.probe = None,
-            Some((_, standing)) if age >= PERIOD => {
+            Some((_, standing)) if age >= PROBE_INTERVAL => {
                 self.probe = None;
                 if standing == Standing::Alive {
-                    self.view.judge(now, &probe.name, Standing::Suspected);
+                    self.view
+                        .set_standing(now, &probe.name, Standing::Suspected);
                 }
             }
             Some((target, _)) if age >= PROBE_TIMEOUT && !probe.indirect => {
-                return self.ask_others(&probe, target);
+                return self.request_probes(&probe, target);
             }
             Some(_) => {}
         }
         Vec::new()
     }
 
-    fn ask_others(&mut self, probe: &Probe, target: SocketAddr) -> Vec<Action> {
+    fn request_probes(&mut self, probe: &Probe, target: SocketAddr) -> Vec<Action> {
         if let Some(probe) = &mut self.probe {
             probe.indirect = true;
         }
@@ -112,7 +115,7 @@
         };
         others
             .into_iter()
-            .take(INDIRECT)
+            .take(INDIRECT_PROBES)
             .map(|to| self.view.message(to, body))
             .collect()
     }
@@ -121,7 +124,7 @@
         if now < self.due.probe || self.probe.is_some() {
             return None;
         }
-        self.due.probe = now + PERIOD;
+        self.due.probe = now + PROBE_INTERVAL;
         let (name, to, incarnation) = self.next_target()?;
         let number = self.next_number();
         self.probe = Some(Probe {
@@ -134,13 +137,13 @@
         let mut action = self.view.message(to, Body::Ping { probe: number });
         let known = self.view.get(&name);
         if let Some(member) = known.filter(|member| member.standing != Standing::Alive) {
-            // So that it can refute the suspicion.
+            // Lets the member refute the suspicion.
             action.message.rumours.push(rumour(member));
         }
         Some(action)
     }
 
-    /// The next present member; each has its turn once before the order is drawn anew.
+    /// The next present member; the order is reshuffled once all have been probed.
     fn next_target(&mut self) -> Option<(Box<str>, SocketAddr, u64)> {
         if self.queue.is_empty() {
             let mut names: Vec<_> = self.iter().map(|instance| instance.name.clone()).collect();
--- a/crates/membership/src/rumours.rs
+++ b/crates/membership/src/rumours.rs
@@ -1,25 +1,26 @@
-//! News that are still to be passed on.
+//! Queue of rumours to piggyback on outgoing messages.
 
 use std::collections::BTreeMap;
 
-/// Times that a rumour is sent for each doubling of the number of members.
-const REPEATS: u32 = 3;
+/// Number of times that a rumour is sent for each doubling of the number of members.
+const RETRANSMIT_MULTIPLIER: u32 = 3;
 
-/// Members whose standing is still to be passed on, the least often sent first.
+/// Members whose standing is still to be gossiped, with the number of times it was sent.
 #[derive(Clone, Debug, Default)]
 pub struct Rumours {
     sent: BTreeMap<Box<str>, u32>,
 }
 
 impl Rumours {
-    /// Passes on what is known of a member from now on.
+    /// Queues the rumour of a member, or resets its count.
     pub fn add(&mut self, name: &str) {
         self.sent.insert(name.into(), 0);
     }
 
-    /// Takes up to `limit` names for the next message of a view of `members`.
+    /// Up to `limit` names for the next message, least often sent first; `members` is the size of
+    /// the view.
     pub fn take(&mut self, limit: usize, members: usize) -> Vec<Box<str>> {
-        let most = REPEATS * (usize::BITS - members.leading_zeros()).max(1);
+        let max_sent = RETRANSMIT_MULTIPLIER * (usize::BITS - members.leading_zeros()).max(1);
         let mut names: Vec<_> = self
             .sent
             .iter()
@@ -32,7 +33,7 @@
                 *sent += 1;
             }
         }
-        self.sent.retain(|_, sent| *sent < most);
+        self.sent.retain(|_, sent| *sent < max_sent);
         names.into_iter().map(|(_, name)| name).collect()
     }
 }
--- a/crates/membership/src/times.rs
+++ b/crates/membership/src/times.rs
@@ -1,54 +1,54 @@
-//! The intervals and bounds of membership.
+//! Intervals, timeouts and limits of the membership protocol.
 
 use std::time::Duration;
 
-/// Time between two ticks of an instance that runs freely.
+/// Interval between ticks when the process is not delayed.
 pub const TICK: Duration = Duration::from_millis(100);
 
-/// Entries that are kept for each data centre but the own one.
-pub const CONTACTS: usize = 4;
+/// Number of entries kept in the view for each other data centre.
+pub const CONTACTS_PER_CENTRE: usize = 4;
 
-/// Time between two probes.
-pub(crate) const PERIOD: Duration = Duration::from_secs(1);
+/// Interval between probes.
+pub(crate) const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time after which a probe without an answer is passed on to others.
+/// Time without an `Ack` after which indirect probes are requested.
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Members that are asked to probe one that did not answer.
-pub(crate) const INDIRECT: usize = 3;
+/// Number of members that are requested to probe one that did not answer.
+pub(crate) const INDIRECT_PROBES: usize = 3;
 
-/// Time for which a member may refute a suspicion.
-pub(crate) const SUSPICION: Duration = Duration::from_secs(5);
+/// Time that a suspected member has to refute the suspicion.
+pub(crate) const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time for which a dead member is remembered and now and then probed.
-pub(crate) const DEAD_KEPT: Duration = Duration::from_secs(3600);
+/// Time for which a dead member stays in the view and is sent `Join` messages.
+pub(crate) const DEAD_RETENTION: Duration = Duration::from_secs(3600);
 
-/// Time for which a member that left is remembered.
-pub(crate) const LEFT_KEPT: Duration = Duration::from_secs(60);
+/// Time for which a member that left stays in the view.
+pub(crate) const LEFT_RETENTION: Duration = Duration::from_secs(60);
 
-/// Time between two attempts to reach a seed or a dead member.
-pub(crate) const REJOIN: Duration = Duration::from_secs(5);
+/// Interval between attempts to reach an absent seed or a dead member.
+pub(crate) const REJOIN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time between two attempts to reach a seed while nobody is known.
-pub(crate) const JOIN: Duration = Duration::from_millis(250);
+/// Interval between such attempts while no member is present in the view.
+pub(crate) const JOIN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Shortest time between two exchanges of the whole view.
-pub(crate) const SYNC: Duration = Duration::from_secs(10);
+/// Minimum interval between requests for a member's full view.
+pub(crate) const SYNC_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time that one member adds to the interval of such exchanges.
-pub(crate) const SYNC_MEMBER: Duration = Duration::from_millis(500);
+/// Time that each member of the view adds to that interval.
+pub(crate) const SYNC_PER_MEMBER: Duration = Duration::from_millis(500);
 
-/// Delay between two ticks from which an instance takes itself to have been paused.
-pub(crate) const STALL: Duration = Duration::from_secs(1);
+/// Gap between two ticks above which the process counts as paused.
+pub(crate) const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Rumours in one message.
-pub(crate) const RUMOURS: usize = 6;
+/// Maximum number of rumours piggybacked on a message.
+pub(crate) const RUMOURS_PER_MESSAGE: usize = 6;
 
-/// Rumours in one message of a whole view.
-pub(crate) const VIEW: usize = 12;
+/// Maximum number of rumours in each message of a full view.
+pub(crate) const VIEW_CHUNK: usize = 12;
 
-/// Members that are told of a planned leave.
-pub(crate) const FAREWELLS: usize = 32;
+/// Number of members that are notified of a planned stop.
+pub(crate) const LEAVE_FANOUT: usize = 32;
 
-/// Members that a newly started instance makes itself known to at once.
-pub(crate) const GREETINGS: usize = 32;
+/// Number of newly discovered members that a started instance sends a message at once.
+pub(crate) const JOIN_FANOUT: usize = 32;
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! The members that are known, and what is to be told of them.
+//! The members known to an instance and the rumours to send about them.
 
 use std::{
     collections::BTreeMap,
@@ -26,15 +26,15 @@
     },
     rumours::Rumours,
     times::{
-        CONTACTS,
-        DEAD_KEPT,
-        LEFT_KEPT,
-        RUMOURS,
-        SUSPICION, //
+        CONTACTS_PER_CENTRE,
+        DEAD_RETENTION,
+        LEFT_RETENTION,
+        RUMOURS_PER_MESSAGE,
+        SUSPICION_TIMEOUT, //
     },
 };
 
-/// The members that are known, the instance itself left out.
+/// The members known to an instance, excluding itself.
 #[derive(Clone, Debug)]
 pub struct View {
     /// Whether a planned stop has begun.
@@ -46,7 +46,7 @@
 }
 
 impl View {
-    /// Creates the view of an instance that knows nobody yet.
+    /// Creates an empty view.
     pub fn new(own: Instance) -> Self {
         Self {
             generation: 0,
@@ -57,17 +57,17 @@
         }
     }
 
-    /// A member; none if it is not known.
+    /// A member; `None` if it is not in the view.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// Number of members that are remembered.
+    /// Number of members in the view, including dead and departed ones.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Inner addresses of the members with that standing.
+    /// Inner addresses of the members with a standing.
     pub fn addresses(&self, standing: Standing) -> Vec<SocketAddr> {
         self.all()
             .filter(|member| member.standing == standing)
@@ -75,35 +75,35 @@
             .collect()
     }
 
-    /// Grows with each change of the members or of their standing.
+    /// Increases with each change of the members or of their standing.
     pub const fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The instance itself, with the incarnation that it has now.
+    /// This instance, with its current incarnation and refutation.
     pub const fn own(&self) -> &Instance {
         &self.own
     }
 
-    /// The present members, alive or suspected, in the order of their names.
+    /// The present members (alive or suspected), ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &Instance> {
         self.all()
             .filter(|member| member.standing.present())
             .map(|member| &member.instance)
     }
 
-    /// All members that are remembered, in the order of their names.
+    /// All members in the view, including dead and departed ones, ordered by name.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// The present entries of the own data centre, the instance itself left out.
+    /// The present entries of this instance's data centre, excluding itself.
     pub fn entries(&self) -> impl Iterator<Item = &Instance> {
         self.iter()
             .filter(|instance| instance.centre == self.own.centre && instance.fabric.is_some())
     }
 
-    /// The known entries of the other data centres that are present, by data centre.
+    /// The present entries of other data centres, by data centre.
     pub fn contacts(&self) -> BTreeMap<&str, Vec<&Instance>> {
         let mut contacts: BTreeMap<&str, Vec<&Instance>> = BTreeMap::new();
         for instance in self.iter().filter(|instance| instance.fabric.is_some()) {
@@ -114,7 +114,8 @@
         contacts
     }
 
-    /// Lets suspicions and memories run out.
+    /// Declares members dead whose suspicion timed out, and removes dead and departed ones after
+    /// their retention time.
     pub fn expire(&mut self, now: Duration) {
         let mut dead = Vec::new();
         self.members.retain(|name, member| {
@@ -122,22 +123,22 @@
             match member.standing {
                 Standing::Alive => true,
                 Standing::Suspected => {
-                    if age >= SUSPICION {
+                    if age >= SUSPICION_TIMEOUT {
                         dead.push(name.clone());
                     }
                     true
                 }
-                Standing::Dead => age < DEAD_KEPT,
-                Standing::Left => age < LEFT_KEPT,
+                Standing::Dead => age < DEAD_RETENTION,
+                Standing::Left => age < LEFT_RETENTION,
             }
         });
         for name in dead {
-            self.judge(now, &name, Standing::Dead);
+            self.set_standing(now, &name, Standing::Dead);
         }
     }
 
-    /// Gives all suspected members the whole time to refute the suspicion again.
-    pub fn resume(&mut self, now: Duration) {
+    /// Restarts the suspicion timeout of all suspected members.
+    pub fn restart_suspicions(&mut self, now: Duration) {
         for member in self.members.values_mut() {
             if member.standing == Standing::Suspected {
                 member.since = now;
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Changes the standing of a member.
-    pub fn judge(&mut self, now: Duration, name: &str, standing: Standing) {
+    /// Changes the standing of a member and queues a rumour of it.
+    pub fn set_standing(&mut self, now: Duration, name: &str, standing: Standing) {
         if let Some(member) = self.members.get_mut(name) {
             member.standing = standing;
             member.since = now;
@@ -155,19 +156,19 @@
         }
     }
 
-    /// Takes in what is said of an instance, unless later news of it are known.
+    /// Merges a rumour of an instance, unless a newer one is known.
     ///
-    /// Returns whether the instance was not known before.
-    pub fn learn(&mut self, now: Duration, instance: Instance, standing: Standing) -> bool {
+    /// Returns whether the instance was added to the view.
+    pub fn merge(&mut self, now: Duration, instance: Instance, standing: Standing) -> bool {
         if instance.name == self.own.name {
             self.refute(&instance, standing);
             return false;
         }
         let known = self.members.get(&instance.name);
-        let rank = order(&instance, standing);
-        let later = known.is_none_or(|known| rank > order(&known.instance, known.standing));
+        let rank = precedence(&instance, standing);
+        let newer = known.is_none_or(|known| rank > precedence(&known.instance, known.standing));
         let new = known.is_none();
-        if !later || new && !self.wanted(&instance) {
+        if !newer || new && !self.admit(&instance) {
             return false;
         }
         let name = instance.name.clone();
@@ -182,9 +183,9 @@
         new
     }
 
-    /// A message with the news that are due.
+    /// Builds a message with the next rumours to send.
     pub fn message(&mut self, to: SocketAddr, body: Body) -> Action {
-        let names = self.rumours.take(RUMOURS, self.members.len());
+        let names = self.rumours.take(RUMOURS_PER_MESSAGE, self.members.len());
         let rumours = names
             .iter()
             .filter_map(|name| self.members.get(name))
@@ -200,21 +201,25 @@
         }
     }
 
-    /// Answers a false rumour of the instance itself with a higher refutation.
+    /// Refutes a false rumour about this instance by raising its refutation or incarnation.
     fn refute(&mut self, instance: &Instance, standing: Standing) {
-        if self.leaving || order(instance, standing) <= order(&self.own, Standing::Alive) {
+        if self.leaving || precedence(instance, standing) <= precedence(&self.own, Standing::Alive)
+        {
             return;
         }
         if instance.incarnation == self.own.incarnation {
             self.own.refutation = instance.refutation + 1;
         } else {
-            // An earlier run of this instance, whose clock was ahead.
+            // The rumour is of an earlier run of this instance, whose clock was ahead.
             self.own.incarnation = instance.incarnation + 1;
         }
     }
 
-    /// Whether an unknown instance belongs into the view.
-    fn wanted(&mut self, instance: &Instance) -> bool {
+    /// Whether an unknown instance is admitted to the view.
+    ///
+    /// Of each other data centre only [`CONTACTS_PER_CENTRE`] non-store members are kept, the
+    /// highest-ranked ones; a higher-ranked instance evicts the lowest.
+    fn admit(&mut self, instance: &Instance) -> bool {
         if instance.store || instance.centre == self.own.centre {
             return true;
         }
@@ -223,15 +228,15 @@
             (&self.own.name, name).hash(&mut hasher);
             hasher.finish()
         };
-        let own = rank(&instance.name);
+        let new_rank = rank(&instance.name);
         let contacts: Vec<_> = self
             .iter()
             .filter(|known| !known.store && known.centre == instance.centre)
             .map(|known| (rank(&known.name), known.name.clone()))
             .collect();
         match contacts.iter().max() {
-            Some(_) if contacts.len() < CONTACTS => true,
-            Some((worst, _)) if own > *worst => false,
+            Some(_) if contacts.len() < CONTACTS_PER_CENTRE => true,
+            Some((lowest, _)) if new_rank > *lowest => false,
             Some((_, name)) => {
                 let name = name.clone();
                 self.members.remove(&name);
@@ -242,7 +247,7 @@
     }
 }
 
-/// What is told of a member.
+/// The rumour of a member's standing.
 pub fn rumour(member: &Member) -> Rumour {
     Rumour {
         instance: member.instance.clone(),
@@ -250,7 +255,7 @@
     }
 }
 
-/// What decides which of two rumours of an instance holds: the greater one.
-const fn order(instance: &Instance, standing: Standing) -> (u64, u32, Standing) {
+/// Precedence of a rumour; of two rumours of an instance the greater one wins.
+const fn precedence(instance: &Instance, standing: Standing) -> (u64, u32, Standing) {
     (instance.incarnation, instance.refutation, standing)
 }
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -1,4 +1,4 @@
-//! Members find, suspect, remove and take back each other.
+//! Joining, probing, suspicion, partitions and restarts of members.
 
 mod net;
 
@@ -6,7 +6,7 @@
 
 use mimosausher_membership::{
     Body,
-    CONTACTS,
+    CONTACTS_PER_CENTRE,
     Event,
     Message,
     Rumour,
@@ -20,30 +20,30 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn joined(seed: u64, numbers: &[u16]) -> Net {
+fn converged_net(seed: u64, numbers: &[u16]) -> Net {
     let mut net = Net::new(seed);
     for number in numbers {
         net.start(*number, "porto-a", 1);
     }
     net.run(15 * SECOND);
-    assert!(net.agreed(numbers));
+    assert!(net.converged(numbers));
     net
 }
 
 #[test]
 fn join_nine_entries() {
-    let mut net = joined(1, &[1, 2]);
+    let mut net = converged_net(1, &[1, 2]);
     for number in 3..=9 {
         net.start(number, "porto-a", 1);
         net.run(SECOND);
     }
     net.run(5 * SECOND);
-    assert!(net.agreed(&[1, 2, 3, 4, 5, 6, 7, 8, 9]));
+    assert!(net.converged(&[1, 2, 3, 4, 5, 6, 7, 8, 9]));
 }
 
 #[test]
 fn leave_seven_entries() {
-    let mut net = joined(2, &[1, 2, 3, 4, 5, 6, 7, 8, 9]);
+    let mut net = converged_net(2, &[1, 2, 3, 4, 5, 6, 7, 8, 9]);
     for number in 3..=9 {
         net.event(number, Event::Leave);
         net.run(SECOND / 2);
@@ -53,12 +53,12 @@
         net.members.remove(&number);
     }
     net.run(20 * SECOND);
-    assert!(net.agreed(&[1, 2]));
+    assert!(net.converged(&[1, 2]));
 }
 
 #[test]
 fn probe_lost_messages() {
-    let mut net = joined(3, &[1, 2, 3, 4, 5, 6, 7, 8]);
+    let mut net = converged_net(3, &[1, 2, 3, 4, 5, 6, 7, 8]);
     net.loss = 0.2;
     for _ in 0..600 {
         net.run(SECOND / 2);
@@ -70,7 +70,7 @@
 
 #[test]
 fn probe_short_pause() {
-    let mut net = joined(4, &[1, 2, 3, 4]);
+    let mut net = converged_net(4, &[1, 2, 3, 4]);
     net.frozen.insert(3);
     for _ in 0..4 {
         net.run(SECOND);
@@ -80,12 +80,12 @@
     }
     net.frozen.clear();
     net.run(10 * SECOND);
-    assert!(net.agreed(&[1, 2, 3, 4]));
+    assert!(net.converged(&[1, 2, 3, 4]));
 }
 
 #[test]
 fn probe_silent_cut() {
-    let mut net = joined(5, &[1, 2, 3, 4]);
+    let mut net = converged_net(5, &[1, 2, 3, 4]);
     net.cut.insert((2, 3));
     for _ in 0..60 {
         net.run(SECOND);
@@ -96,13 +96,13 @@
 
 #[test]
 fn resume_long_pause() {
-    let mut net = joined(6, &[1, 2, 3, 4]);
+    let mut net = converged_net(6, &[1, 2, 3, 4]);
     net.frozen.insert(3);
     net.run(10 * SECOND);
     assert_eq!(net.standing(1, 3), Some(Standing::Dead));
     net.frozen.clear();
     net.run(12 * SECOND);
-    assert!(net.agreed(&[1, 2, 3, 4]));
+    assert!(net.converged(&[1, 2, 3, 4]));
     assert!(net.members[&3].own().refutation > 0);
     for viewer in [1, 2, 4] {
         assert_eq!(net.members[&viewer].own().refutation, 0);
@@ -111,11 +111,11 @@
 
 #[test]
 fn restart_killed_entry() {
-    let mut net = joined(7, &[1, 2, 3]);
+    let mut net = converged_net(7, &[1, 2, 3]);
     net.members.remove(&2);
     net.start(2, "porto-a", 50);
     net.run(10 * SECOND);
-    assert!(net.agreed(&[1, 2, 3]));
+    assert!(net.converged(&[1, 2, 3]));
     let known = net.members[&1].iter().map(|member| member.incarnation);
     assert!(known.max() >= Some(50));
 }
@@ -131,15 +131,15 @@
     assert_eq!(net.standing(1, 2), Some(Standing::Dead));
     net.start(2, "porto-a", 3);
     net.run(10 * SECOND);
-    assert!(net.agreed(&[1, 2]));
+    assert!(net.converged(&[1, 2]));
 }
 
 #[test]
 fn partition_healed() {
-    let mut net = joined(9, &[1, 2, 3, 4]);
-    for one in [1, 2] {
-        for other in [3, 4] {
-            net.cut.insert((one, other));
+    let mut net = converged_net(9, &[1, 2, 3, 4]);
+    for left in [1, 2] {
+        for right in [3, 4] {
+            net.cut.insert((left, right));
         }
     }
     net.run(60 * SECOND);
@@ -147,12 +147,12 @@
     assert_eq!(net.standing(4, 2), Some(Standing::Dead));
     net.cut.clear();
     net.run(40 * SECOND);
-    assert!(net.agreed(&[1, 2, 3, 4]));
+    assert!(net.converged(&[1, 2, 3, 4]));
 }
 
 #[test]
-fn received_stale_after_leave() {
-    let mut net = joined(10, &[1, 2, 3]);
+fn handle_stale_after_leave() {
+    let mut net = converged_net(10, &[1, 2, 3]);
     net.event(3, Event::Leave);
     net.members.remove(&3);
     net.run(SECOND);
@@ -188,6 +188,6 @@
         let members = &net.members[&number];
         assert_eq!(members.entries().count(), 9);
         let contacts = members.contacts();
-        assert_eq!(contacts["braga-a"].len(), CONTACTS);
+        assert_eq!(contacts["braga-a"].len(), CONTACTS_PER_CENTRE);
     }
 }
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! A network of members in virtual time that loses, delays and cuts messages.
+//! Simulated network of members in virtual time, with lost, delayed and blocked messages.
 
 use std::{
     collections::{
@@ -24,20 +24,20 @@
 };
 use rand_chacha::ChaCha8Rng;
 
-/// Longest delay of a message.
+/// Maximum delay of a message.
 const DELAY: Duration = Duration::from_millis(20);
 
-/// The inner address of the instance with that number.
+/// Inner address of an instance by number.
 pub fn address(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], number))
 }
 
-/// The name of the instance with that number.
+/// Name of an instance by number.
 pub fn name(number: u16) -> String {
     format!("entry-{number}")
 }
 
-/// The entry of that number.
+/// Description of an entry by number.
 pub fn entry(number: u16, centre: &str, incarnation: u64) -> Instance {
     Instance {
         admin: address(number),
@@ -52,20 +52,20 @@
     }
 }
 
-/// A network of members; the entry with number 1 is every other one's seed.
+/// Simulated network of members; entry 1 is the seed of all others.
 pub struct Net {
-    /// Bytes are counted by messages and rumours here.
+    /// Number of messages sent, including lost ones.
     pub messages: u64,
-    /// Pairs of numbers between which nothing arrives.
+    /// Pairs of instances whose messages to each other are dropped.
     pub cut: BTreeSet<(u16, u16)>,
-    /// Numbers of instances that do nothing and whose messages wait.
+    /// Paused instances; messages to them are held back.
     pub frozen: BTreeSet<u16>,
-    /// Share of messages that are lost.
+    /// Probability that a message is lost.
     pub loss: f64,
     pub members: BTreeMap<u16, Members>,
-    /// The time.
+    /// Current virtual time.
     pub now: Duration,
-    flight: Vec<(Duration, u16, u16, Message)>,
+    in_flight: Vec<(Duration, u16, u16, Message)>,
     random: ChaCha8Rng,
 }
 
@@ -73,7 +73,7 @@
     pub fn new(seed: u64) -> Self {
         Self {
             cut: BTreeSet::new(),
-            flight: Vec::new(),
+            in_flight: Vec::new(),
             frozen: BTreeSet::new(),
             loss: 0.0,
             members: BTreeMap::new(),
@@ -90,7 +90,7 @@
         self.members.insert(number, members);
     }
 
-    /// Lets time pass.
+    /// Advances virtual time by `time`.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Gives an event to one instance and sends what it answers.
+    /// Passes an event to an instance and sends the resulting messages.
     pub fn event(&mut self, number: u16, event: Event) {
         let Some(members) = self.members.get_mut(&number) else {
             return;
@@ -114,13 +114,13 @@
         self.send(number, actions);
     }
 
-    /// The standing of one instance in the view of another.
+    /// Standing of an instance in the view of `viewer`.
     pub fn standing(&self, viewer: u16, number: u16) -> Option<Standing> {
         self.members[&viewer].standing(&name(number))
     }
 
-    /// Whether each of the numbers takes all the others for alive, and knows of no more.
-    pub fn agreed(&self, numbers: &[u16]) -> bool {
+    /// Whether each of these instances has exactly the others as alive in its view.
+    pub fn converged(&self, numbers: &[u16]) -> bool {
         numbers.iter().all(|viewer| {
             let alive = self.members[viewer]
                 .all()
@@ -142,18 +142,18 @@
             let cut = self.cut.contains(&(from, to)) || self.cut.contains(&(to, from));
             if !lost && !cut {
                 let delay = DELAY.mul_f64(self.random.random());
-                self.flight
+                self.in_flight
                     .push((self.now + delay, from, to, action.message));
             }
         }
     }
 
     fn deliver(&mut self) {
-        let flight = std::mem::take(&mut self.flight);
-        let (due, later): (Vec<_>, Vec<_>) = flight
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (due, later): (Vec<_>, Vec<_>) = in_flight
             .into_iter()
             .partition(|(at, _, to, _)| *at <= self.now && !self.frozen.contains(to));
-        self.flight = later;
+        self.in_flight = later;
         for (_, from, to, message) in due {
             let event = Event::Received {
                 from: address(from),
