--- a/crates/directory/benches/capacity.rs
+++ b/crates/directory/benches/capacity.rs
@@ -1,7 +1,7 @@
-//! Processor time, bytes and memory of the directory by the number of endpoints.
+//! CPU time, traffic and memory of the directory by the number of endpoints.
 //!
-//! Each endpoint is confirmed once a second by a batch from another entry, or announces itself
-//! here and is passed on to one entry of the data centre and one of each of three others.
+//! Each endpoint is confirmed once a second by a batch from another entry, or announces itself to
+//! this entry, which relays it to one entry of its data centre and one of each of three others.
 
 use std::{
     net::{
@@ -35,13 +35,13 @@
 /// Numbers of endpoints.
 const SIZES: [u32; 5] = [500, 1000, 2000, 4000, 8000];
 
-/// Virtual seconds that are measured.
+/// Virtual time of the measurement, in seconds.
 const SECONDS: u64 = 10;
 
 /// Reports in one batch.
-const REPORTS: usize = 10;
+const REPORTS_PER_BATCH: usize = 10;
 
-/// Bytes of the IPv4 and UDP headers, and of a batch without reports.
+/// Bytes of the IPv4 and UDP headers and of a batch without reports.
 const HEADER_BYTES: usize = 28 + 20;
 
 fn address(number: u32) -> SocketAddr {
@@ -64,7 +64,7 @@
     })
 }
 
-/// Bytes of a report in a batch.
+/// Encoded size of a report in a batch, in bytes.
 fn report_bytes() -> usize {
     let endpoint = report(1, 100_000).endpoint;
     let report = wire::Report {
@@ -103,15 +103,15 @@
     }
 }
 
-/// Nanoseconds a second for confirmations that come in batches.
+/// CPU time of confirmations received in batches, in nanoseconds per second.
 fn receive(size: u32) -> f64 {
     let (mut directory, mut relay) = (Directory::new(), Relay::new());
     let mut now = Duration::from_secs(1);
-    let mut spent = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     for sequence in 0..SECONDS {
         let numbers: Vec<_> = (0..size).collect();
         let batches: Vec<_> = numbers
-            .chunks(REPORTS)
+            .chunks(REPORTS_PER_BATCH)
             .map(|chunk| Batch {
                 echo: Some(Echo {
                     held: Duration::ZERO,
@@ -130,13 +130,14 @@
             relay.receive(now, &mut directory, address(u32::MAX), batch);
         }
         tick(&mut directory, &mut now);
-        spent += start.elapsed();
+        elapsed += start.elapsed();
     }
     assert_eq!(directory.iter().count(), usize::try_from(size).unwrap());
-    spent.as_secs_f64() * 1e9 / Duration::from_secs(SECONDS).as_secs_f64()
+    elapsed.as_secs_f64() * 1e9 / Duration::from_secs(SECONDS).as_secs_f64()
 }
 
-/// Nanoseconds and bytes a second for announcements that come from the endpoints themselves.
+/// CPU time and traffic of announcements from the endpoints themselves, in nanoseconds and bytes
+/// per second.
 fn announce(size: u32, length: usize) -> (f64, f64) {
     let (mut directory, mut relay) = (Directory::new(), Relay::new());
     let mut now = Duration::from_secs(1);
@@ -146,7 +147,7 @@
         entries: vec![address(4 << 20)],
     };
     relay.set_peers(now, peers);
-    let (mut bytes, mut spent) = (0, Duration::ZERO);
+    let (mut bytes, mut elapsed) = (0, Duration::ZERO);
     for sequence in 0..SECONDS {
         let reports: Vec<_> = (0..size).map(|number| report(number, sequence)).collect();
         let start = Instant::now();
@@ -160,14 +161,14 @@
                 bytes += HEADER_BYTES + batch.reports.len() * length;
             }
         }
-        spent += start.elapsed();
+        elapsed += start.elapsed();
     }
     let seconds = Duration::from_secs(SECONDS).as_secs_f64();
     let bytes = f64::from(u32::try_from(bytes).unwrap());
-    (spent.as_secs_f64() * 1e9 / seconds, bytes / seconds)
+    (elapsed.as_secs_f64() * 1e9 / seconds, bytes / seconds)
 }
 
-/// Bytes of memory for one endpoint's binding, from a directory that grows.
+/// Resident memory of a growing directory by its number of endpoints, in bytes.
 fn memories() -> Vec<(f64, f64)> {
     let (mut directory, now) = (Directory::new(), Duration::from_secs(1));
     let before = resident().unwrap();
@@ -190,13 +191,13 @@
     for size in SIZES {
         let count = f64::from(size);
         let case = format!("{size} endpoints");
-        let nanos = receive(size);
-        Figure::new("directory.receive_ns", &case, nanos, "ns/s").print();
-        received.push((count, nanos));
-        let (nanos, sent) = announce(size, length);
-        Figure::new("directory.announce_ns", &case, nanos, "ns/s").print();
+        let time_ns = receive(size);
+        Figure::new("directory.receive_ns", &case, time_ns, "ns/s").print();
+        received.push((count, time_ns));
+        let (time_ns, sent) = announce(size, length);
+        Figure::new("directory.announce_ns", &case, time_ns, "ns/s").print();
         Figure::new("directory.bytes", &case, sent, "B/s").print();
-        announced.push((count, nanos));
+        announced.push((count, time_ns));
         bytes.push((count, sent));
     }
     let case = "by endpoint heard of";
--- a/crates/directory/src/batch.rs
+++ b/crates/directory/src/batch.rs
@@ -1,4 +1,4 @@
-//! Reports on their way between instances, with what bounds their age.
+//! Batches of reports between instances, with clock echoes that bound their age.
 
 use std::{
     net::SocketAddr,
@@ -7,38 +7,38 @@
 
 use crate::report::Report;
 
-/// The receiver's own last stamp, given back to it.
+/// The receiver's last stamp, echoed back to it.
 ///
-/// The receiver subtracts both from its clock and so learns a time that the batch can't have been
-/// on its way for longer than, without any agreement between the two clocks.
+/// The receiver subtracts `stamp` and `held` from its clock; the result is an upper bound of the
+/// batch's transit time. The two clocks need not be synchronised.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Echo {
-    /// Time for which the sender has held the stamp.
+    /// Time between the sender's receipt of the stamp and its echo.
     pub held: Duration,
-    /// The receiver's clock when it sent the stamp.
+    /// Time on the receiver's clock when it sent the stamp.
     pub stamp: Duration,
 }
 
-/// How far reports are passed on.
+/// How the receiver forwards the reports of a batch.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Route {
-    /// Not any further.
+    /// Does not forward them.
     Direct,
-    /// To one more instance, which the sender can't reach itself.
+    /// Forwards them to one instance that the sender cannot reach directly.
     Forward(SocketAddr),
-    /// To the entries of the receiver's data centre.
+    /// Forwards them to the entries of its data centre.
     Spread,
 }
 
-/// Reports from one instance to another.
+/// A batch of reports from one instance to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// The receiver's last stamp, if the sender has one.
+    /// Echo of the receiver's last stamp, if the sender has received one.
     pub echo: Option<Echo>,
     /// The reports.
     pub reports: Vec<Report>,
-    /// How far they are passed on.
+    /// How the receiver forwards the reports.
     pub route: Route,
-    /// The sender's clock.
+    /// Time on the sender's clock.
     pub stamp: Duration,
 }
--- a/crates/directory/src/directory.rs
+++ b/crates/directory/src/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints that an instance knows.
+//! Directory of the endpoints known to an instance.
 
 use std::{
     collections::{
@@ -24,24 +24,25 @@
     report::Report,
     times::{
         LEASE,
-        STALL,
-        STALL_ECHO, //
+        STALL_GRACE, //
+        STALL_THRESHOLD,
     },
 };
 
-/// Added to every time, so that what happened before the process started has a time as well.
+/// Offset added to every time, so that events before the start of the process have a time too.
 const ORIGIN: Duration = Duration::from_secs(3600);
 
-/// The endpoints that an instance knows, each under a lease.
+/// Directory of the endpoints known to an instance, each under a lease.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    /// Bindings that are used, by address.
+    /// Bindings in use, by address.
     addresses: BTreeMap<SocketAddr, EndpointKey>,
     bindings: SlotMap<EndpointKey, Binding>,
     generation: u64,
     names: BTreeMap<Box<str>, EndpointKey>,
     services: BTreeMap<Box<str>, BTreeSet<EndpointKey>>,
-    /// Length of the last pause, and until when what arrives may have waited through it.
+    /// Length of the last pause, and the time until which received messages may have been queued
+    /// during it.
     stall: (Duration, Duration),
     ticked: Option<Duration>,
 }
@@ -52,20 +53,21 @@
         Self::default()
     }
 
-    /// Takes in an announcement and renews the endpoint's lease.
+    /// Handles an announcement and renews the endpoint's lease.
     ///
-    /// A new binding of an address waits for [`WAIT`](crate::WAIT) before it is used, unless the address
-    /// belonged to the same endpoint and service, or this instance itself has run for less.
+    /// A new binding of an address waits for [`REBIND_DELAY`](crate::REBIND_DELAY) before it is
+    /// used, unless the address belonged to the same endpoint and service, or this instance has run
+    /// for less than [`LEASE`].
     ///
     /// # Errors
     ///
-    /// [`Code::AnnouncementStale`] if a later one is known already, or it is older than the lease;
-    /// nothing is changed. [`Code::AnnouncementConflict`] while the address is held by another
-    /// endpoint, or if the incarnation had another address or service before.
+    /// [`Code::AnnouncementStale`] if a later one is already known, or it is older than the lease;
+    /// the lease is not renewed. [`Code::AnnouncementConflict`] while the address is held by another endpoint, or if the
+    /// incarnation had another address or service before.
     pub fn announce(&mut self, now: Duration, mut report: Report) -> Result<EndpointKey, Code> {
-        let young = now < LEASE;
+        let just_started = now < LEASE;
         let now = now + ORIGIN;
-        report.age += self.pause(now);
+        report.age += self.stall_age(now);
         if report.age >= LEASE {
             return Err(Code::AnnouncementStale);
         }
@@ -80,74 +82,75 @@
             Some((key, _)) => self.replace(now, key, report),
             None => self.insert(now, Binding::new(now, report)),
         };
-        self.settle(now, key, young)
+        self.try_activate(now, key, just_started)
     }
 
-    /// Lets leases and waits run out; to be called every [`TICK`](crate::TICK).
+    /// Expires leases and ends waits; to be called every [`TICK`](crate::TICK).
     pub fn tick(&mut self, now: Duration) {
         let now = now + ORIGIN;
         let gap = self
             .ticked
             .map_or(Duration::ZERO, |ticked| now.saturating_sub(ticked));
-        if gap > STALL {
-            self.stall = (gap, now + STALL_ECHO);
+        if gap > STALL_THRESHOLD {
+            self.stall = (gap, now + STALL_GRACE);
         }
         self.ticked = Some(now);
         self.expire(now);
         let keys: Vec<_> = self.bindings.keys().collect();
         for key in keys {
-            let _waiting = self.settle(now, key, false);
+            let _result = self.try_activate(now, key, false);
         }
     }
 
     /// Ticks if the last tick is overdue.
     ///
-    /// A face that may run first after a pause of the process calls it before it decides, so that
-    /// no lease that ran out in the pause is used.
+    /// Code that may run before the first tick after a pause of the process calls this first, so
+    /// that no lease that expired during the pause is used.
     pub fn catch_up(&mut self, now: Duration) {
         let overdue = self
             .ticked
-            .is_some_and(|ticked| (now + ORIGIN).saturating_sub(ticked) > STALL);
+            .is_some_and(|ticked| (now + ORIGIN).saturating_sub(ticked) > STALL_THRESHOLD);
         if overdue {
             self.tick(now);
         }
     }
 
-    /// Grows with each change of who may take work, and with which weight.
+    /// Increases with each change of the usable endpoints or their weights.
     pub const fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The endpoint of that key while its lease runs; established flows go on to its address.
+    /// The endpoint of a key while it is in use; its established flows still go to its address.
     ///
-    /// A key without an endpoint gets it back if the same incarnation is confirmed later; see
+    /// A key whose lease has expired is in use again if the same incarnation is confirmed later; see
     /// [`knows`](Self::knows).
     pub fn get(&self, key: EndpointKey) -> Option<&Endpoint> {
         self.bindings
             .get(key)
-            .filter(|binding| binding.phase == Phase::Used)
+            .filter(|binding| binding.phase == Phase::InUse)
             .map(|binding| &binding.endpoint)
     }
 
-    /// The key of the endpoint of that name, also of one that waits for its address.
+    /// The key of an endpoint by name, including one that waits for its address.
     pub fn key(&self, name: &str) -> Option<EndpointKey> {
         self.names.get(name).copied()
     }
 
-    /// Whether the key may have an endpoint now or later; if not, it never has one again.
+    /// Whether the directory holds the key's binding, also an expired one; once removed, it never
+    /// returns.
     pub fn knows(&self, key: EndpointKey) -> bool {
         self.bindings.contains_key(key)
     }
 
-    /// All endpoints under a lease, in no particular order.
+    /// All endpoints in use, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointKey, &Endpoint)> {
         self.bindings
             .iter()
-            .filter(|(_, binding)| binding.phase == Phase::Used)
+            .filter(|(_, binding)| binding.phase == Phase::InUse)
             .map(|(key, binding)| (key, &binding.endpoint))
     }
 
-    /// The endpoints of one service under a lease, in the order of their keys.
+    /// The endpoints of a service in use, ordered by key.
     pub fn by_service(&self, service: &str) -> impl Iterator<Item = (EndpointKey, &Endpoint)> {
         self.services
             .get(service)
@@ -156,34 +159,36 @@
             .filter_map(|key| Some((*key, self.get(*key)?)))
     }
 
-    /// Whether the endpoint may take new work now: it is ready, was confirmed lately and holds
-    /// its address alone.
+    /// Whether the endpoint may get new work now: it is ready, was confirmed within [`FRESHNESS`]
+    /// and is the only holder of its address.
+    ///
+    /// [`FRESHNESS`]: crate::FRESHNESS
     pub fn takes(&self, now: Duration, key: EndpointKey) -> bool {
         self.bindings
             .get(key)
-            .is_some_and(|binding| binding.takes(now + ORIGIN))
+            .is_some_and(|binding| binding.accepts_work(now + ORIGIN))
     }
 
-    /// The endpoint's share of new work in thousandths of a warm one's; 0 if it may take none.
+    /// The endpoint's weight for new work, in thousandths of full weight; 0 if it may get none.
     pub fn weight(&self, now: Duration, key: EndpointKey) -> u16 {
         self.bindings
             .get(key)
-            .map_or(0, |binding| binding.weigh(now + ORIGIN))
+            .map_or(0, |binding| binding.weight_at(now + ORIGIN))
     }
 
-    /// Time since the endpoint's last confirmation; none for an unknown key.
+    /// Time since the endpoint's last confirmation; `None` for an unknown key.
     pub fn age(&self, now: Duration, key: EndpointKey) -> Option<Duration> {
         let binding = self.bindings.get(key)?;
         Some(binding.age(now + ORIGIN))
     }
 
-    /// The endpoint's last announcement, with its age, for another instance.
+    /// Report of the endpoint's latest announcement, to send to another instance.
     pub fn report(&self, now: Duration, key: EndpointKey) -> Option<Report> {
         let binding = self.bindings.get(key)?;
         Some(binding.report(now + ORIGIN))
     }
 
-    /// Endpoints that wait for their address to be free.
+    /// Endpoints that wait to use their address.
     pub fn waiting(&self) -> impl Iterator<Item = &Endpoint> {
         self.bindings
             .values()
@@ -191,13 +196,13 @@
             .map(|binding| &binding.endpoint)
     }
 
-    fn pause(&self, now: Duration) -> Duration {
+    fn stall_age(&self, now: Duration) -> Duration {
         let (length, until) = self.stall;
-        let running = self
+        let since_tick = self
             .ticked
             .map_or(Duration::ZERO, |ticked| now.saturating_sub(ticked));
         match () {
-            () if running > STALL => running,
+            () if since_tick > STALL_THRESHOLD => since_tick,
             () if now < until => length,
             () => Duration::ZERO,
         }
@@ -230,15 +235,15 @@
     fn replace(&mut self, now: Duration, key: EndpointKey, report: Report) -> EndpointKey {
         let mut binding = Binding::new(now, report);
         if let Some(old) = self.remove(key) {
-            let (new, old_end) = (&binding.endpoint, &old.endpoint);
-            let same = (new.address, &new.service) == (old_end.address, &old_end.service);
+            let (new, old_endpoint) = (&binding.endpoint, &old.endpoint);
+            let same = (new.address, &new.service) == (old_endpoint.address, &old_endpoint.service);
             match old.phase {
-                Phase::Used if same && old.leased(now) => {
+                Phase::InUse if same && old.leased(now) => {
                     binding.inherit(&old);
-                    binding.waive();
+                    binding.activate();
                 }
                 Phase::Waiting if same && old.leased(now) => binding.inherit(&old),
-                Phase::Lapsed | Phase::Used | Phase::Waiting => {}
+                Phase::Expired | Phase::InUse | Phase::Waiting => {}
             }
         }
         self.insert(now, binding)
@@ -247,14 +252,14 @@
     fn insert(&mut self, now: Duration, binding: Binding) -> EndpointKey {
         let name = binding.endpoint.name.clone();
         let service = binding.endpoint.service.clone();
-        let (address, used) = (binding.endpoint.address, binding.phase == Phase::Used);
+        let (address, in_use) = (binding.endpoint.address, binding.phase == Phase::InUse);
         let key = self.bindings.insert(binding);
-        if used {
+        if in_use {
             self.addresses.insert(address, key);
         }
         self.names.insert(name, key);
         self.services.entry(service).or_default().insert(key);
-        self.weigh(now, key);
+        self.update_weight(now, key);
         self.generation += 1;
         key
     }
@@ -276,12 +281,12 @@
         Some(binding)
     }
 
-    /// Lets a binding be used as soon as it is settled and its address is free.
-    fn settle(
+    /// Puts a binding in use if its wait is over and its address is free.
+    fn try_activate(
         &mut self,
         now: Duration,
         key: EndpointKey,
-        young: bool,
+        just_started: bool,
     ) -> Result<EndpointKey, Code> {
         let Some(binding) = self.bindings.get_mut(key) else {
             return Err(Code::AnnouncementStale);
@@ -292,40 +297,40 @@
             .get(&address)
             .is_none_or(|holder| *holder == key);
         match binding.phase {
-            Phase::Used => {}
-            Phase::Lapsed | Phase::Waiting if !binding.leased(now) => {}
-            Phase::Lapsed | Phase::Waiting if !free => return Err(Code::AnnouncementConflict),
-            Phase::Lapsed | Phase::Waiting if young || binding.settled(now) => {
-                binding.phase = Phase::Used;
+            Phase::InUse => {}
+            Phase::Expired | Phase::Waiting if !binding.leased(now) => {}
+            Phase::Expired | Phase::Waiting if !free => return Err(Code::AnnouncementConflict),
+            Phase::Expired | Phase::Waiting if just_started || binding.wait_over(now) => {
+                binding.phase = Phase::InUse;
                 self.addresses.insert(address, key);
                 self.generation += 1;
             }
-            Phase::Lapsed | Phase::Waiting => {}
+            Phase::Expired | Phase::Waiting => {}
         }
-        self.weigh(now, key);
+        self.update_weight(now, key);
         Ok(key)
     }
 
-    fn weigh(&mut self, now: Duration, key: EndpointKey) {
+    fn update_weight(&mut self, now: Duration, key: EndpointKey) {
         if let Some(binding) = self.bindings.get_mut(key) {
-            let weight = binding.weigh(now);
+            let weight = binding.weight_at(now);
             self.generation += u64::from(weight != binding.weight);
             binding.weight = weight;
         }
     }
 
     fn expire(&mut self, now: Duration) {
-        let mut forgotten = Vec::new();
+        let mut removable = Vec::new();
         for (key, binding) in &mut self.bindings {
-            if !binding.remembered(now) {
-                forgotten.push(key);
-            } else if binding.phase == Phase::Used && !binding.leased(now) {
-                binding.phase = Phase::Lapsed;
+            if !binding.retained(now) {
+                removable.push(key);
+            } else if binding.phase == Phase::InUse && !binding.leased(now) {
+                binding.phase = Phase::Expired;
                 self.addresses.remove(&binding.endpoint.address);
                 self.generation += 1;
             }
         }
-        for key in forgotten {
+        for key in removable {
             self.remove(key);
         }
     }
--- a/crates/directory/src/endpoint.rs
+++ b/crates/directory/src/endpoint.rs
@@ -1,44 +1,44 @@
-//! An endpoint as it announced itself.
+//! An announced endpoint.
 
 use std::net::SocketAddr;
 
 slotmap::new_key_type! {
-    /// Key of an endpoint in the directory; never used again for another incarnation.
+    /// Key of an endpoint's incarnation in the directory; never reused.
     pub struct EndpointKey;
 }
 
-/// An endpoint's own word on whether it takes work.
+/// Readiness of an endpoint, as announced.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum State {
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its work and accepts no new work.
     Draining,
-    /// Takes work.
+    /// Accepts work.
     Ready,
-    /// Not yet able to take work.
+    /// Not yet able to accept work.
     Starting,
 }
 
-/// What an endpoint last said of itself.
+/// An endpoint, as described in its announcement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Where it takes requests or packets.
+    /// Address for requests or packets.
     pub address: SocketAddr,
     /// Name of its data centre.
     pub centre: Box<str>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: u32,
-    /// Grows with each start of the endpoint.
+    /// Increases with each start of the endpoint.
     pub incarnation: u64,
-    /// Share of its capacity in use: 0 idle, 1 full.
+    /// Fraction of its capacity in use: 0 idle, 1 full.
     pub load: f32,
     /// Its name.
     pub name: Box<str>,
-    /// Grows with each announcement of one incarnation.
+    /// Increases with each announcement of one incarnation.
     pub sequence: u64,
-    /// Name of the service that it serves.
+    /// Name of its service.
     pub service: Box<str>,
-    /// Requests that it can work on at once.
+    /// Number of requests that it can process concurrently.
     pub slots: u16,
-    /// Whether it takes work.
+    /// Its readiness.
     pub state: State,
 }
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,4 +1,4 @@
-//! The endpoints as they announce themselves, each under a lease.
+//! Directory of announced endpoints, each under a lease, and the relay of their announcements.
 
 mod batch;
 mod binding;
@@ -29,11 +29,11 @@
     report::Report,
     times::{
         ANNOUNCE_INTERVAL,
-        FRESH,
+        FRESHNESS,
         LEASE,
+        REBIND_DELAY,
         TICK,
-        TOMBSTONE,
-        WAIT,
+        TOMBSTONE_RETENTION,
         WARMUP, //
     },
 };
--- a/crates/directory/src/outbox.rs
+++ b/crates/directory/src/outbox.rs
@@ -1,4 +1,4 @@
-//! What is to be sent to one instance.
+//! Queue of reports to one instance.
 
 use std::{
     collections::BTreeSet,
@@ -10,24 +10,24 @@
     endpoint::EndpointKey, //
 };
 
-/// What is to be sent to one instance.
+/// Queue of reports to one instance.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox {
-    /// When it is sent; nothing is to be sent if none.
+    /// When to send; `None` if there is nothing to send.
     pub due: Option<Duration>,
-    /// Endpoints whose last announcement is sent, with how far it is passed on.
+    /// Endpoints to report, with the route of each report.
     pub keys: BTreeSet<(Route, EndpointKey)>,
 }
 
 impl Outbox {
-    /// Adds an endpoint, to be sent at `due` at the latest.
+    /// Adds an endpoint, to be sent by `due`.
     pub fn add(&mut self, route: Route, key: EndpointKey, due: Duration) {
         self.keys.insert((route, key));
-        self.hasten(due);
+        self.schedule(due);
     }
 
-    /// Sends at `due` at the latest, even if nothing is added.
-    pub fn hasten(&mut self, due: Duration) {
+    /// Schedules a send by `due`, even if nothing is added.
+    pub fn schedule(&mut self, due: Duration) {
         self.due = Some(self.due.map_or(due, |known| known.min(due)));
     }
 }
--- a/crates/directory/src/path.rs
+++ b/crates/directory/src/path.rs
@@ -1,61 +1,61 @@
-//! What is known of the way to another instance.
+//! Reachability of another instance, by echoed stamps.
 
 use std::time::Duration;
 
 use crate::batch::Echo;
 
-/// Time without an echo after which a way counts as shut.
-const SHUT: Duration = Duration::from_secs(2);
+/// Time without an echo after which an instance counts as unreachable.
+const ECHO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is known of the way to another instance.
+/// Reachability of another instance and the stamps exchanged with it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Path {
-    /// The own stamp that was last given back.
+    /// The latest of this instance's stamps that was echoed.
     echoed: Duration,
-    /// The other's last stamp and when it came.
-    heard: Option<(Duration, Duration)>,
-    /// The first send since the last echo.
-    waits: Option<Duration>,
+    /// The other instance's last stamp and the time of its receipt.
+    last_heard: Option<(Duration, Duration)>,
+    /// Time of the first send since the last echo.
+    unanswered_since: Option<Duration>,
 }
 
 impl Path {
-    /// Takes in a stamp and an echo; returns a bound of the time that the batch was on its way.
-    pub fn received(
+    /// Records a received stamp and echo; returns an upper bound of the batch's transit time.
+    pub fn record_receipt(
         &mut self,
         now: Duration,
         stamp: Duration,
         echo: Option<Echo>,
     ) -> Option<Duration> {
-        let newer = self.heard.is_none_or(|(last, _)| stamp != last);
+        let newer = self.last_heard.is_none_or(|(last, _)| stamp != last);
         if newer {
-            self.heard = Some((stamp, now));
+            self.last_heard = Some((stamp, now));
         }
         let echo = echo?;
         let transit = now.checked_sub(echo.stamp)?.checked_sub(echo.held)?;
         self.echoed = self.echoed.max(echo.stamp);
-        self.waits = None;
+        self.unanswered_since = None;
         Some(transit)
     }
 
-    /// Takes note of a send that the other is to answer.
-    pub fn sent(&mut self, now: Duration) {
-        self.waits = self.waits.or(Some(now));
+    /// Records a send that the other instance is to answer.
+    pub fn record_send(&mut self, now: Duration) {
+        self.unanswered_since = self.unanswered_since.or(Some(now));
     }
 
-    /// Whether what is sent seems to arrive.
-    pub fn open(&self, now: Duration) -> bool {
-        self.waits
-            .is_none_or(|since| now.saturating_sub(since) < SHUT)
+    /// Whether no send has been unanswered for [`ECHO_TIMEOUT`].
+    pub fn reachable(&self, now: Duration) -> bool {
+        self.unanswered_since
+            .is_none_or(|since| now.saturating_sub(since) < ECHO_TIMEOUT)
     }
 
-    /// Whether nothing has come from the other yet.
-    pub const fn fresh(&self) -> bool {
-        self.heard.is_none()
+    /// Whether nothing has been received from the other instance yet.
+    pub const fn never_heard(&self) -> bool {
+        self.last_heard.is_none()
     }
 
-    /// What is to be given back to the other.
+    /// The echo to send to the other instance.
     pub fn echo(&self, now: Duration) -> Option<Echo> {
-        let (stamp, at) = self.heard?;
+        let (stamp, at) = self.last_heard?;
         Some(Echo {
             held: now.saturating_sub(at),
             stamp,
--- a/crates/directory/src/relay.rs
+++ b/crates/directory/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes announcements on between instances.
+//! Relays announcements between instances.
 
 use std::{
     collections::{
@@ -32,32 +32,35 @@
     report::Report, //
 };
 
-/// Time for which reports are gathered into one batch.
-const GATHER: Duration = Duration::from_millis(500);
+/// Time for which reports are collected into one batch.
+const BATCH_DELAY: Duration = Duration::from_millis(500);
 
-/// Shortest time between two reports of an endpoint whose state did not change.
-const REPEAT: Duration = Duration::from_millis(800);
+/// Minimum interval between reports of an endpoint whose state did not change.
+const REPORT_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Reports in one batch, so that it fits a packet.
-const REPORTS: usize = 10;
+/// Maximum number of reports in a batch, so that it fits a packet.
+const REPORTS_PER_BATCH: usize = 10;
 
-/// Entries of the own data centre that an endpoint is reported to.
-const FOLLOWERS: usize = 16;
+/// Maximum number of entries in the same data centre that an endpoint is reported to.
+const LOCAL_FANOUT: usize = 16;
 
-/// Difference from which another instance is told for how long an endpoint has held its address.
-const CORRECTION: Duration = Duration::from_secs(1);
+/// Difference between two instances' values of [`Report::bound`] above which the sender of the
+/// lower one is sent a report with the higher one.
+const BOUND_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// The instances that announcements are passed on to.
+/// The instances that announcements are relayed to.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Peers {
     /// Inner addresses of entries of each other data centre.
     pub contacts: Vec<Vec<SocketAddr>>,
-    /// Inner addresses of the other entries of the own data centre.
+    /// Inner addresses of the other entries of this instance's data centre.
     pub entries: Vec<SocketAddr>,
 }
 
-/// Passes announcements on: from the entry that an endpoint spoke to, to the entries of its data
-/// centre and one of each other data centre, which passes them on to its own.
+/// Relays announcements between instances.
+///
+/// The entry that an endpoint announced itself to relays the announcement to the entries of its
+/// data centre and to one entry of each other data centre, which relays it to the others there.
 #[derive(Clone, Debug, Default)]
 pub struct Relay {
     outboxes: BTreeMap<SocketAddr, Outbox>,
@@ -72,7 +75,7 @@
         Self::default()
     }
 
-    /// Sets the peers; new ones are greeted.
+    /// Sets the peers; new ones are sent an empty batch at once.
     pub fn set_peers(&mut self, now: Duration, peers: Peers) {
         if peers == self.peers {
             return;
@@ -88,14 +91,14 @@
         self.outboxes.retain(|address, _| all.contains(address));
         for address in all {
             self.paths.entry(address).or_insert_with(|| {
-                self.outboxes.entry(address).or_default().hasten(now);
+                self.outboxes.entry(address).or_default().schedule(now);
                 Path::default()
             });
         }
         self.peers = peers;
     }
 
-    /// Takes in an announcement from the endpoint itself.
+    /// Handles an announcement from the endpoint itself.
     ///
     /// # Errors
     ///
@@ -108,17 +111,18 @@
     ) -> Result<EndpointKey, Code> {
         let state = report.endpoint.state;
         let name = report.endpoint.name.clone();
-        let taken = directory.announce(now, report);
-        // One that waits for its address is passed on as well: the others wait from then on.
+        let result = directory.announce(now, report);
+        // A binding that waits for its address is relayed as well, so that the wait of the other
+        // instances begins now.
         if let Some(key) = directory.key(&name)
-            && !matches!(taken, Err(Code::AnnouncementStale))
+            && !matches!(result, Err(Code::AnnouncementStale))
         {
-            self.pass_on(now, key, state, &name);
+            self.propagate(now, key, state, &name);
         }
-        taken
+        result
     }
 
-    /// Takes in a batch from another instance.
+    /// Handles a batch from another instance.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -127,26 +131,26 @@
         batch: Batch,
     ) {
         let path = self.paths.entry(from).or_default();
-        let first = path.fresh();
-        let transit = path.received(now, batch.stamp, batch.echo);
+        let first = path.never_heard();
+        let transit = path.record_receipt(now, batch.stamp, batch.echo);
         if first {
             self.send_all(now, directory, from);
         }
         if batch.reports.is_empty() {
             return;
         }
-        let answer = self.outboxes.entry(from).or_default();
-        answer.hasten(now + transit.map_or(Duration::ZERO, |_| GATHER));
+        let outbox = self.outboxes.entry(from).or_default();
+        outbox.schedule(now + transit.map_or(Duration::ZERO, |_| BATCH_DELAY));
         let Some(transit) = transit else {
             return;
         };
         for mut report in batch.reports {
             report.age += transit;
-            self.take(now, directory, from, batch.route, report);
+            self.receive_report(now, directory, from, batch.route, report);
         }
     }
 
-    /// The batches that are due.
+    /// Removes and returns the batches that are due.
     pub fn flush(&mut self, now: Duration, directory: &Directory) -> Vec<(SocketAddr, Batch)> {
         let due: Vec<_> = self
             .outboxes
@@ -156,12 +160,12 @@
             .collect();
         let mut batches = Vec::new();
         for (to, outbox) in due {
-            self.pack(now, directory, to, &outbox, &mut batches);
+            self.build_batches(now, directory, to, &outbox, &mut batches);
         }
         batches
     }
 
-    fn take(
+    fn receive_report(
         &mut self,
         now: Duration,
         directory: &mut Directory,
@@ -170,19 +174,19 @@
         report: Report,
     ) {
         let (bound, name) = (report.bound, report.endpoint.name.clone());
-        let taken = directory.announce(now, report);
+        let result = directory.announce(now, report);
         let Some(key) = directory.key(&name) else {
             return;
         };
         let known = directory.report(now, key).map(|known| known.bound);
-        if known.is_some_and(|known| known > bound + CORRECTION) {
+        if known.is_some_and(|known| known > bound + BOUND_TOLERANCE) {
             let outbox = self.outboxes.entry(from).or_default();
-            outbox.add(Route::Direct, key, now + GATHER);
+            outbox.add(Route::Direct, key, now + BATCH_DELAY);
         }
         match route {
             Route::Forward(to) => self.send(now, to, Route::Direct, key, now),
-            Route::Spread if taken.is_ok() => {
-                let entries = self.followers(&name);
+            Route::Spread if result.is_ok() => {
+                let entries = self.entries_for(&name);
                 for to in entries.into_iter().filter(|entry| *entry != from) {
                     self.send(now, to, Route::Direct, key, now);
                 }
@@ -191,46 +195,49 @@
         }
     }
 
-    fn pass_on(&mut self, now: Duration, key: EndpointKey, state: State, name: &str) {
+    fn propagate(&mut self, now: Duration, key: EndpointKey, state: State, name: &str) {
         let due = match self.sent.get(key) {
-            Some((at, known)) if *known == state && now.saturating_sub(*at) < REPEAT => return,
-            Some((_, known)) if *known == state => now + GATHER,
+            Some((at, known)) if *known == state && now.saturating_sub(*at) < REPORT_INTERVAL => {
+                return;
+            }
+            Some((_, known)) if *known == state => now + BATCH_DELAY,
             Some(_) | None => now,
         };
         self.sent.insert(key, (now, state));
-        for to in self.followers(name) {
+        for to in self.entries_for(name) {
             self.send(now, to, Route::Direct, key, due);
         }
-        for contact in self.chosen(now, name) {
+        for contact in self.contacts_for(now, name) {
             self.send(now, contact, Route::Spread, key, due);
         }
     }
 
-    /// The entries of the own data centre that an endpoint is reported to.
-    fn followers(&self, name: &str) -> Vec<SocketAddr> {
+    /// The entries of this instance's data centre that an endpoint is reported to.
+    fn entries_for(&self, name: &str) -> Vec<SocketAddr> {
         let mut entries = self.peers.entries.clone();
-        if entries.len() > FOLLOWERS {
+        if entries.len() > LOCAL_FANOUT {
             entries.sort_by_cached_key(|entry| rank(name, entry));
-            entries.truncate(FOLLOWERS);
+            entries.truncate(LOCAL_FANOUT);
         }
         entries
     }
 
-    /// One contact of each other data centre, reached ones first.
-    fn chosen(&self, now: Duration, name: &str) -> Vec<SocketAddr> {
+    /// One contact of each other data centre, preferring reachable ones.
+    fn contacts_for(&self, now: Duration, name: &str) -> Vec<SocketAddr> {
         self.peers
             .contacts
             .iter()
             .filter_map(|contacts| {
                 contacts
                     .iter()
-                    .min_by_key(|contact| (!self.open(now, **contact), rank(name, contact)))
+                    .min_by_key(|contact| (!self.reachable(now, **contact), rank(name, contact)))
             })
             .copied()
             .collect()
     }
 
-    /// Sends directly, or through another instance if the direct way is shut.
+    /// Queues a report; if the receiver is unreachable, also queues it for another instance to
+    /// forward.
     fn send(
         &mut self,
         now: Duration,
@@ -240,17 +247,17 @@
         due: Duration,
     ) {
         self.outboxes.entry(to).or_default().add(route, key, due);
-        if self.open(now, to) || route != Route::Direct {
+        if self.reachable(now, to) || route != Route::Direct {
             return;
         }
-        let other = self
+        let relay = self
             .paths
             .iter()
-            .filter(|(address, path)| **address != to && path.open(now) && !path.fresh())
+            .filter(|(address, path)| **address != to && path.reachable(now) && !path.never_heard())
             .map(|(address, _)| *address)
             .min_by_key(|address| rank("", address));
-        if let Some(other) = other {
-            let outbox = self.outboxes.entry(other).or_default();
+        if let Some(relay) = relay {
+            let outbox = self.outboxes.entry(relay).or_default();
             outbox.add(Route::Forward(to), key, due);
         }
     }
@@ -262,11 +269,13 @@
         }
     }
 
-    fn open(&self, now: Duration, address: SocketAddr) -> bool {
-        self.paths.get(&address).is_none_or(|path| path.open(now))
+    fn reachable(&self, now: Duration, address: SocketAddr) -> bool {
+        self.paths
+            .get(&address)
+            .is_none_or(|path| path.reachable(now))
     }
 
-    fn pack(
+    fn build_batches(
         &mut self,
         now: Duration,
         directory: &Directory,
@@ -295,11 +304,11 @@
             reports.extend(directory.report(now, *key));
         }
         for (route, reports) in routes {
-            for reports in reports.chunks(REPORTS) {
+            for reports in reports.chunks(REPORTS_PER_BATCH) {
                 batch(route, reports.to_vec());
             }
         }
-        path.sent(now);
+        path.record_send(now);
     }
 }
 
--- a/crates/directory/src/report.rs
+++ b/crates/directory/src/report.rs
@@ -1,24 +1,24 @@
-//! An announcement on its way between instances.
+//! An announcement as sent between instances.
 
 use std::time::Duration;
 
 use crate::endpoint::Endpoint;
 
-/// An announcement with what the instances on its way know of its age.
+/// An announcement as sent between instances, with bounds of its age.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// Time since the endpoint sent it; never less than the true one.
+    /// Upper bound of the time since the endpoint sent it.
     pub age: Duration,
-    /// Time for which the endpoint has held its address; never more than the true one.
+    /// Lower bound of the time for which the endpoint has held its address.
     pub bound: Duration,
-    /// What the endpoint said.
+    /// The announced endpoint.
     pub endpoint: Endpoint,
     /// Time for which the endpoint has been ready.
     pub warm: Duration,
 }
 
 impl Report {
-    /// Creates the report of an announcement that came from the endpoint itself.
+    /// Creates the report of an announcement received from the endpoint itself.
     pub const fn new(endpoint: Endpoint) -> Self {
         Self {
             age: Duration::ZERO,
--- a/crates/directory/tests/directory.rs
+++ b/crates/directory/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Announcements, leases, ages and the reuse of addresses.
+//! Announcements, leases, weights and the reuse of addresses.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use mimosausher_directory::{
     Directory,
     Endpoint,
-    FRESH,
+    FRESHNESS,
     LEASE,
+    REBIND_DELAY,
     Report,
     State,
     TICK,
-    TOMBSTONE,
-    WAIT,
+    TOMBSTONE_RETENTION,
     WARMUP, //
 };
 
-/// Long after the start, so that new bindings wait.
+/// Time later than one lease after the start, so that new bindings wait.
 const START: Duration = Duration::from_secs(1000);
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -40,7 +40,7 @@
     Report::new(endpoint(name, incarnation, sequence))
 }
 
-/// Lets time pass in ticks.
+/// Advances virtual time in ticks.
 fn run(directory: &mut Directory, now: &mut Duration, time: Duration) {
     let end = *now + time;
     while *now < end {
@@ -49,12 +49,12 @@
     }
 }
 
-/// A directory that uses `desk-1`, and the time.
-fn used() -> (Directory, Duration) {
+/// A directory with `desk-1` in use, and the current time.
+fn directory_in_use() -> (Directory, Duration) {
     let mut directory = Directory::new();
     directory.tick(START);
-    let settled = report("desk-1", 1, 1).with_bound(WAIT);
-    directory.announce(START, settled).unwrap();
+    let held = report("desk-1", 1, 1).with_bound(REBIND_DELAY);
+    directory.announce(START, held).unwrap();
     (directory, START)
 }
 
@@ -72,8 +72,8 @@
                     report.endpoint.state = State::Draining;
                 }
                 let later = last.as_ref().is_none_or(|(known, _)| order > *known);
-                let taken = directory.announce(SECOND, report.clone());
-                assert_eq!(taken.is_ok(), later);
+                let result = directory.announce(SECOND, report.clone());
+                assert_eq!(result.is_ok(), later);
                 if later {
                     last = Some((order, report.endpoint));
                 }
@@ -84,17 +84,17 @@
 }
 
 #[test]
-fn announce_after_lapse() {
-    let (mut directory, mut now) = used();
+fn announce_after_expiry() {
+    let (mut directory, mut now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     run(&mut directory, &mut now, LEASE + SECOND);
     assert_eq!(directory.get(key), None);
-    let taken = directory.announce(now, report("desk-1", 1, 1));
-    assert_eq!(taken, Err(Code::AnnouncementStale));
+    let result = directory.announce(now, report("desk-1", 1, 1));
+    assert_eq!(result, Err(Code::AnnouncementStale));
     let late = report("desk-1", 1, 2).with_age(LEASE);
     assert_eq!(directory.announce(now, late), Err(Code::AnnouncementStale));
     assert_eq!(directory.get(key), None);
-    run(&mut directory, &mut now, TOMBSTONE);
+    run(&mut directory, &mut now, TOMBSTONE_RETENTION);
     assert!(!directory.knows(key));
     let late = report("desk-1", 1, 2).with_age(LEASE);
     assert_eq!(directory.announce(now, late), Err(Code::AnnouncementStale));
@@ -103,17 +103,17 @@
 
 #[test]
 fn announce_same_key_again() {
-    let (mut directory, mut now) = used();
+    let (mut directory, mut now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     run(&mut directory, &mut now, LEASE + SECOND);
-    let settled = report("desk-1", 1, 2).with_bound(WAIT);
-    assert_eq!(directory.announce(now, settled), Ok(key));
+    let held = report("desk-1", 1, 2).with_bound(REBIND_DELAY);
+    assert_eq!(directory.announce(now, held), Ok(key));
     assert!(directory.get(key).is_some());
 }
 
 #[test]
-fn announce_lapsed_waits_again() {
-    let (mut directory, mut now) = used();
+fn announce_expired_waits_again() {
+    let (mut directory, mut now) = directory_in_use();
     run(&mut directory, &mut now, LEASE + SECOND);
     let key = directory.announce(now, report("desk-1", 1, 2)).unwrap();
     assert_eq!(directory.get(key), None);
@@ -121,38 +121,38 @@
 
 #[test]
 fn announce_changed_address() {
-    let (mut directory, now) = used();
+    let (mut directory, now) = directory_in_use();
     let mut moved = report("desk-1", 1, 2);
     moved.endpoint.address = "127.0.0.1:9001".parse().unwrap();
-    let taken = directory.announce(now, moved);
-    assert_eq!(taken, Err(Code::AnnouncementConflict));
+    let result = directory.announce(now, moved);
+    assert_eq!(result, Err(Code::AnnouncementConflict));
 }
 
 #[test]
 fn announce_address_of_another() {
-    let (mut directory, mut now) = used();
+    let (mut directory, mut now) = directory_in_use();
     let old = directory.key("desk-1").unwrap();
     for sequence in 1.. {
-        let taken = directory.announce(now, report("desk-2", 1, sequence));
+        let result = directory.announce(now, report("desk-2", 1, sequence));
         let Some(new) = directory.key("desk-2") else {
             panic!("not remembered");
         };
         match directory.get(new) {
             Some(_) => break,
             None if directory.get(old).is_some() => {
-                assert_eq!(taken, Err(Code::AnnouncementConflict));
+                assert_eq!(result, Err(Code::AnnouncementConflict));
             }
-            None => assert_eq!(taken, Ok(new)),
+            None => assert_eq!(result, Ok(new)),
         }
         run(&mut directory, &mut now, SECOND);
     }
     assert_eq!(directory.get(old), None);
-    assert!(now - START >= WAIT);
+    assert!(now - START >= REBIND_DELAY);
 }
 
 #[test]
 fn announce_restarted_endpoint() {
-    let (mut directory, now) = used();
+    let (mut directory, now) = directory_in_use();
     let old = directory.key("desk-1").unwrap();
     let key = directory.announce(now, report("desk-1", 2, 1)).unwrap();
     assert_ne!(key, old);
@@ -162,21 +162,21 @@
 
 #[test]
 fn takes_silent_endpoint() {
-    let (mut directory, mut now) = used();
+    let (mut directory, mut now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     let generation = directory.generation();
-    run(&mut directory, &mut now, FRESH - TICK);
+    run(&mut directory, &mut now, FRESHNESS - TICK);
     assert!(directory.takes(now, key));
     run(&mut directory, &mut now, TICK);
     assert!(!directory.takes(now, key));
     assert!(directory.get(key).is_some());
     assert_ne!(directory.generation(), generation);
-    assert!(FRESH + TICK < 3 * SECOND);
+    assert!(FRESHNESS + TICK < 3 * SECOND);
 }
 
 #[test]
 fn takes_draining_endpoint() {
-    let (mut directory, now) = used();
+    let (mut directory, now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     let generation = directory.generation();
     let mut draining = report("desk-1", 1, 2);
@@ -189,20 +189,20 @@
 
 #[test]
 fn takes_old_report() {
-    let (mut directory, now) = used();
+    let (mut directory, now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
-    let late = report("desk-1", 1, 2).with_age(FRESH);
+    let late = report("desk-1", 1, 2).with_age(FRESHNESS);
     directory.announce(now, late).unwrap();
     assert!(directory.takes(now, key));
     let mut directory = Directory::new();
-    let late = report("desk-1", 1, 2).with_age(FRESH);
+    let late = report("desk-1", 1, 2).with_age(FRESHNESS);
     let key = directory.announce(SECOND, late).unwrap();
     assert!(!directory.takes(SECOND, key));
 }
 
 #[test]
 fn takes_after_own_pause() {
-    let (mut directory, mut now) = used();
+    let (mut directory, mut now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     now += 5 * SECOND;
     directory.announce(now, report("desk-1", 1, 2)).unwrap();
@@ -217,7 +217,7 @@
 
 #[test]
 fn catch_up_after_pause() {
-    let (mut directory, now) = used();
+    let (mut directory, now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     directory.catch_up(now + LEASE);
     assert_eq!(directory.get(key), None);
@@ -225,7 +225,7 @@
 
 #[test]
 fn weight_cold_endpoint() {
-    let (mut directory, mut now) = used();
+    let (mut directory, mut now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     let mut weights = vec![directory.weight(now, key)];
     for sequence in 2..14 {
@@ -243,8 +243,8 @@
 
 #[test]
 fn by_service_two_services() {
-    let (mut directory, now) = used();
-    let mut other = report("updates-1", 1, 1).with_bound(WAIT);
+    let (mut directory, now) = directory_in_use();
+    let mut other = report("updates-1", 1, 1).with_bound(REBIND_DELAY);
     other.endpoint.address = "127.0.0.1:9001".parse().unwrap();
     other.endpoint.service = "booking-updates".into();
     let key = directory.announce(now, other).unwrap();
--- a/crates/directory/tests/net/mod.rs
+++ b/crates/directory/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! Entries of several data centres that pass announcements on, in virtual time.
+//! Simulated entries of several data centres that relay announcements, in virtual time.
 
 use std::{
     collections::BTreeSet,
@@ -17,27 +17,27 @@
     TICK, //
 };
 
-/// Time that a batch is under way.
+/// Transit time of a batch.
 const DELAY: Duration = Duration::from_millis(100);
 
-/// An entry with a clock of its own.
+/// An entry with its own clock.
 pub struct Entry {
-    /// The endpoints.
+    /// Directory of the entry.
     pub directory: Directory,
-    /// The endpoints' announcements on their way.
+    /// Relay of the entry.
     pub relay: Relay,
     offset: Duration,
 }
 
-/// A few entries; the number of one is its address's port.
+/// Simulated network of entries; an entry's number is the port of its address.
 pub struct Net {
-    /// Pairs between which nothing arrives, in both directions.
+    /// Pairs of entries whose batches to each other are dropped.
     pub cut: BTreeSet<(usize, usize)>,
     /// The entries.
     pub entries: Vec<Entry>,
-    /// Batches and reports that were sent.
+    /// Numbers of batches and reports sent.
     pub sent: (u64, u64),
-    flight: Vec<(Duration, usize, usize, Batch)>,
+    in_flight: Vec<(Duration, usize, usize, Batch)>,
     now: Duration,
 }
 
@@ -45,7 +45,7 @@
     SocketAddr::from(([127, 0, 0, 1], u16::try_from(number).unwrap()))
 }
 
-/// A ready endpoint's announcement.
+/// Report of an endpoint's announcement.
 pub fn report(name: &str, sequence: u64, state: State) -> Report {
     let port = name.bytes().map(u16::from).sum();
     Report::new(Endpoint {
@@ -63,7 +63,8 @@
 }
 
 impl Net {
-    /// Starts entries in data centres of the given sizes, an hour after their own start.
+    /// Creates entries in data centres of the given sizes; their clocks start at an hour, each
+    /// 17 seconds ahead of the one before.
     pub fn new(centres: &[usize]) -> Self {
         let count: usize = centres.iter().sum();
         let entries = (0..count).map(|number| Entry {
@@ -74,7 +75,7 @@
         let mut net = Self {
             cut: BTreeSet::new(),
             entries: entries.collect(),
-            flight: Vec::new(),
+            in_flight: Vec::new(),
             now: Duration::ZERO,
             sent: (0, 0),
         };
@@ -102,27 +103,27 @@
         net
     }
 
-    /// An entry's own time.
+    /// Time on an entry's clock.
     pub fn now(&self, number: usize) -> Duration {
         self.now + self.entries[number].offset
     }
 
-    /// Lets an endpoint announce itself to an entry.
+    /// Passes an endpoint's announcement to an entry.
     pub fn announce(&mut self, number: usize, report: Report) {
         let now = self.now(number);
         let entry = &mut self.entries[number];
-        let _taken = entry.relay.announce(now, &mut entry.directory, report);
+        let _result = entry.relay.announce(now, &mut entry.directory, report);
         self.flush(number);
     }
 
-    /// Whether an endpoint may take new work at an entry.
+    /// Whether an endpoint may get new work from an entry.
     pub fn takes(&self, number: usize, name: &str) -> bool {
         let directory = &self.entries[number].directory;
         let key = directory.key(name);
         key.is_some_and(|key| directory.takes(self.now(number), key))
     }
 
-    /// Lets time pass.
+    /// Advances virtual time by `time`.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -137,10 +138,10 @@
     }
 
     fn deliver(&mut self) {
-        let flight = std::mem::take(&mut self.flight);
+        let in_flight = std::mem::take(&mut self.in_flight);
         let (due, later): (Vec<_>, Vec<_>) =
-            flight.into_iter().partition(|(at, ..)| *at <= self.now);
-        self.flight = later;
+            in_flight.into_iter().partition(|(at, ..)| *at <= self.now);
+        self.in_flight = later;
         for (_, from, to, batch) in due {
             let now = self.now(to);
             let entry = &mut self.entries[to];
@@ -159,7 +160,7 @@
             self.sent.1 += u64::try_from(batch.reports.len()).unwrap();
             let to = usize::from(to.port());
             if !self.cut.contains(&(number, to)) && !self.cut.contains(&(to, number)) {
-                self.flight.push((self.now + DELAY, number, to, batch));
+                self.in_flight.push((self.now + DELAY, number, to, batch));
             }
         }
     }
--- a/crates/directory/tests/reuse.rs
+++ b/crates/directory/tests/reuse.rs
@@ -1,9 +1,10 @@
-//! Exhaustive exploration of the reuse of an address over two holders.
+//! Exhaustive exploration of the reuse of an address, with two instances.
 //!
-//! One endpoint announces itself and then falls silent for good; another one of another service
-//! comes back at its address. Each announcement reaches either holder or none, and the holder
-//! passes it on in a message that is lost, or arrives at any later time with a true age. All
-//! interleavings over [`STEPS`] steps of [`STEP`] are visited.
+//! One endpoint announces itself and then stops; an endpoint of another service starts at its
+//! address. Each announcement reaches either instance or none, and the instance relays it in a
+//! message that is lost or arrives at any later time with a true age. All interleavings over
+//! [`STEPS`] steps of [`STEP`] are visited. No instance may use the old binding while one uses the
+//! new one.
 
 use std::{
     hash::{
@@ -16,29 +17,29 @@
 use mimosausher_directory::{
     Directory,
     Endpoint,
+    REBIND_DELAY, //
     Report,
     State,
-    WAIT, //
 };
 use pathfinding::directed::bfs::bfs_reach;
 
 /// Time between two choices.
 const STEP: Duration = Duration::from_secs(3);
 
-/// Time between two ticks of a holder.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Interval between ticks of an instance.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Depth of the exploration.
 const STEPS: u64 = 6;
 
-/// Long after the holders' start, so that new bindings wait.
+/// Time later than one lease after the instances' start, so that new bindings wait.
 const START: Duration = Duration::from_secs(1000);
 
 /// Steps in which the first endpoint may announce itself.
 const FIRST_STEPS: u64 = 3;
 
-/// Messages under way at a time.
-const FLIGHT: usize = 1;
+/// Maximum number of messages in flight.
+const MAX_IN_FLIGHT: usize = 1;
 
 #[derive(Clone)]
 struct Message {
@@ -48,11 +49,11 @@
 }
 
 #[derive(Clone)]
-struct World {
-    /// Whether a holder used the old binding while one used the new one.
-    broken: bool,
-    flight: Vec<Message>,
-    holders: [Directory; 2],
+struct Model {
+    /// Whether an instance used the old binding while one used the new one.
+    conflict: bool,
+    in_flight: Vec<Message>,
+    instances: [Directory; 2],
     now: Duration,
     second: bool,
     step: u64,
@@ -77,48 +78,48 @@
     }
 }
 
-impl World {
+impl Model {
     fn new() -> Self {
-        let mut holders = [Directory::new(), Directory::new()];
-        for holder in &mut holders {
-            holder.tick(START);
-            let report = Report::new(endpoint(false, 0)).with_bound(WAIT);
-            holder.announce(START, report).unwrap();
+        let mut instances = [Directory::new(), Directory::new()];
+        for instance in &mut instances {
+            instance.tick(START);
+            let report = Report::new(endpoint(false, 0)).with_bound(REBIND_DELAY);
+            instance.announce(START, report).unwrap();
         }
         Self {
-            broken: false,
-            flight: Vec::new(),
-            holders,
+            conflict: false,
+            in_flight: Vec::new(),
+            instances,
             now: START,
             second: false,
             step: 0,
         }
     }
 
-    fn uses(&self, holder: usize, name: &str) -> bool {
-        let mut used = self.holders[holder].iter();
+    fn uses(&self, instance: usize, name: &str) -> bool {
+        let mut used = self.instances[instance].iter();
         used.any(|(_, endpoint)| &*endpoint.name == name)
     }
 
-    fn violated(&self) -> bool {
-        let any = |name| (0..2).any(|holder| self.uses(holder, name));
+    fn conflicting(&self) -> bool {
+        let any = |name| (0..2).any(|instance| self.uses(instance, name));
         any("desk-1") && any("updates-1")
     }
 
-    /// What the future depends on.
+    /// The part of the state that later steps depend on.
     fn key(&self) -> impl Eq + Hash {
-        let known = |holder: &Directory, name: &str| {
-            let key = holder.key(name)?;
-            let report = holder.report(self.now, key)?;
-            let used = holder.get(key).is_some();
+        let known = |instance: &Directory, name: &str| {
+            let key = instance.key(name)?;
+            let report = instance.report(self.now, key)?;
+            let used = instance.get(key).is_some();
             Some((used, report.age, report.bound, report.endpoint.sequence))
         };
-        let holders = self
-            .holders
+        let instances = self
+            .instances
             .each_ref()
-            .map(|holder| (known(holder, "desk-1"), known(holder, "updates-1")));
-        let mut flight: Vec<_> = self
-            .flight
+            .map(|instance| (known(instance, "desk-1"), known(instance, "updates-1")));
+        let mut in_flight: Vec<_> = self
+            .in_flight
             .iter()
             .map(|message| {
                 let endpoint = &message.report.endpoint;
@@ -126,108 +127,108 @@
                 (message.to, order, message.report.bound, message.sent)
             })
             .collect();
-        flight.sort();
-        (holders, flight, self.second, self.step, self.broken)
+        in_flight.sort();
+        (instances, in_flight, self.second, self.step, self.conflict)
     }
 
-    /// All worlds one step later.
+    /// All successor states.
     fn next(&self) -> Vec<Self> {
         if self.step == STEPS {
             return Vec::new();
         }
-        let mut worlds = vec![self.clone()];
-        for number in (0..self.flight.len()).rev() {
-            worlds = worlds
+        let mut states = vec![self.clone()];
+        for number in (0..self.in_flight.len()).rev() {
+            states = states
                 .into_iter()
-                .flat_map(|world| world.arrivals(number))
+                .flat_map(|model| model.deliveries(number))
                 .collect();
         }
-        worlds
+        states
             .into_iter()
-            .flat_map(|world| world.announcements())
-            .map(Self::passed)
+            .flat_map(|model| model.announcements())
+            .map(Self::advanced)
             .collect()
     }
 
-    /// The message of that number stays under way, is lost or arrives.
-    fn arrivals(self, number: usize) -> [Self; 3] {
+    /// The states in which a message stays in flight, is lost or arrives.
+    fn deliveries(self, number: usize) -> [Self; 3] {
         let (mut lost, mut arrived) = (self.clone(), self.clone());
-        lost.flight.remove(number);
-        let message = arrived.flight.remove(number);
+        lost.in_flight.remove(number);
+        let message = arrived.in_flight.remove(number);
         let age = message.report.age + (arrived.now - message.sent);
         let report = message.report.with_age(age);
-        let _taken = arrived.holders[message.to].announce(arrived.now, report);
+        let _result = arrived.instances[message.to].announce(arrived.now, report);
         [self, lost, arrived]
     }
 
-    /// The present owner of the address announces itself to either holder, or to none; or the
-    /// address changes hands.
+    /// The states in which the current endpoint of the address announces itself to one instance or
+    /// to none, or the second endpoint takes over the address.
     fn announcements(self) -> Vec<Self> {
-        let mut worlds = vec![self.clone()];
+        let mut states = vec![self.clone()];
         if self.second || self.step < FIRST_STEPS {
-            worlds.extend((0..2).map(|holder| self.clone().announced(holder, self.second)));
+            states.extend((0..2).map(|instance| self.clone().announced(instance, self.second)));
         }
         if !self.second {
-            worlds.extend((0..2).map(|holder| self.clone().announced(holder, true)));
+            states.extend((0..2).map(|instance| self.clone().announced(instance, true)));
         }
-        worlds
+        states
     }
 
-    fn announced(mut self, holder: usize, second: bool) -> Self {
+    fn announced(mut self, instance: usize, second: bool) -> Self {
         self.second = second;
         let report = Report::new(endpoint(second, self.step + 1));
         let name = report.endpoint.name.clone();
-        let directory = &mut self.holders[holder];
-        let _taken = directory.announce(self.now, report);
+        let directory = &mut self.instances[instance];
+        let _result = directory.announce(self.now, report);
         let key = directory.key(&name).unwrap();
         let report = directory.report(self.now, key).unwrap();
-        if self.flight.len() < FLIGHT {
-            self.flight.push(Message {
+        if self.in_flight.len() < MAX_IN_FLIGHT {
+            self.in_flight.push(Message {
                 report,
                 sent: self.now,
-                to: 1 - holder,
+                to: 1 - instance,
             });
         }
         self
     }
 
-    fn passed(mut self) -> Self {
+    fn advanced(mut self) -> Self {
         let end = self.now + STEP;
         while self.now < end {
-            self.now += PAUSE;
-            for holder in &mut self.holders {
-                holder.tick(self.now);
+            self.now += TICK_INTERVAL;
+            for instance in &mut self.instances {
+                instance.tick(self.now);
             }
-            self.broken |= self.violated();
+            self.conflict |= self.conflicting();
         }
         self.step += 1;
         self
     }
 }
 
-impl PartialEq for World {
+impl PartialEq for Model {
     fn eq(&self, other: &Self) -> bool {
         self.key() == other.key()
     }
 }
 
-impl Eq for World {}
+impl Eq for Model {}
 
-impl Hash for World {
+impl Hash for Model {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.key().hash(state);
     }
 }
 
 #[test]
-fn reuse_two_holders() {
-    let mut worlds = 0_u64;
+fn reuse_two_instances() {
+    let mut states = 0_u64;
     let mut reused = 0_u64;
-    for world in bfs_reach(World::new(), World::next) {
-        assert!(!world.broken, "at step {}", world.step);
-        worlds += 1;
-        reused += u64::from((0..2).any(|holder| world.uses(holder, "updates-1")));
+    for model in bfs_reach(Model::new(), Model::next) {
+        assert!(!model.conflict, "at step {}", model.step);
+        states += 1;
+        reused += u64::from((0..2).any(|instance| model.uses(instance, "updates-1")));
     }
-    println!("{worlds} worlds, {reused} in which the address is used again");
+    println!("{states} states, {reused} of them with the address in use again");
     assert!(reused > 0);
 }
