--- a/crates/directory/src/directory.rs
+++ b/crates/directory/src/directory.rs
@@ -30,7 +30,7 @@
 };
 
 /// Offset added to every time, so that events before the start of the process have a time too.
-const ORIGIN: Duration = Duration::from_secs(3600);
+const CLOCK_OFFSET: Duration = Duration::from_secs(3600);
 
 /// Directory of the endpoints known to an instance, each under a lease.
 #[derive(Clone, Debug, Default)]
@@ -66,7 +66,7 @@
     /// incarnation had another address or service before.
     pub fn announce(&mut self, now: Duration, mut report: Report) -> Result<EndpointKey, Code> {
         let just_started = now < LEASE;
-        let now = now + ORIGIN;
+        let now = now + CLOCK_OFFSET;
         report.age += self.stall_age(now);
         if report.age >= LEASE {
             return Err(Code::AnnouncementStale);
@@ -87,7 +87,7 @@
 
     /// Expires leases and ends waits; to be called every [`TICK`](crate::TICK).
     pub fn tick(&mut self, now: Duration) {
-        let now = now + ORIGIN;
+        let now = now + CLOCK_OFFSET;
         let gap = self
             .ticked
             .map_or(Duration::ZERO, |ticked| now.saturating_sub(ticked));
@@ -109,7 +109,7 @@
     pub fn catch_up(&mut self, now: Duration) {
         let overdue = self
             .ticked
-            .is_some_and(|ticked| (now + ORIGIN).saturating_sub(ticked) > STALL_THRESHOLD);
+            .is_some_and(|ticked| (now + CLOCK_OFFSET).saturating_sub(ticked) > STALL_THRESHOLD);
         if overdue {
             self.tick(now);
         }
@@ -166,26 +166,26 @@
     pub fn takes(&self, now: Duration, key: EndpointKey) -> bool {
         self.bindings
             .get(key)
-            .is_some_and(|binding| binding.accepts_work(now + ORIGIN))
+            .is_some_and(|binding| binding.accepts_work(now + CLOCK_OFFSET))
     }
 
     /// The endpoint's weight for new work, in thousandths of full weight; 0 if it may get none.
     pub fn weight(&self, now: Duration, key: EndpointKey) -> u16 {
         self.bindings
             .get(key)
-            .map_or(0, |binding| binding.weight_at(now + ORIGIN))
+            .map_or(0, |binding| binding.weight_at(now + CLOCK_OFFSET))
     }
 
     /// Time since the endpoint's last confirmation; `None` for an unknown key.
     pub fn age(&self, now: Duration, key: EndpointKey) -> Option<Duration> {
         let binding = self.bindings.get(key)?;
-        Some(binding.age(now + ORIGIN))
+        Some(binding.age(now + CLOCK_OFFSET))
     }
 
     /// Report of the endpoint's latest announcement, to send to another instance.
     pub fn report(&self, now: Duration, key: EndpointKey) -> Option<Report> {
         let binding = self.bindings.get(key)?;
-        Some(binding.report(now + ORIGIN))
+        Some(binding.report(now + CLOCK_OFFSET))
     }
 
     /// Endpoints that wait to use their address.
