--- a/crates/steering/benches/capacity.rs
+++ b/crates/steering/benches/capacity.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of steering by the number of flows held.
+//! CPU time and memory of steering by the number of flows held.
 
 #![allow(missing_docs, reason = "a benchmark has no public items")]
 
@@ -30,8 +30,8 @@
 /// Numbers of flows held.
 const HELD: [u64; 5] = [15_000, 30_000, 60_000, 120_000, 240_000];
 
-/// Share of a table for open flows that it owns: 7 of 16.
-const PLACES: usize = 16;
+/// Divisor of the table's area for owned flows, which is 7 of 16 records.
+const AREA_DIVISOR: usize = 16;
 
 const NOW: Duration = Duration::from_secs(60);
 
@@ -46,19 +46,19 @@
             let arrival = arrival(number.wrapping_mul(7919) % held, Phase::Follows);
             black_box(machine.packet(NOW, &arrival));
         }
-        let time = start.elapsed().as_nanos() as f64 / count as f64;
-        Figure::new("flows.packet_cost", &case, time, "ns/packet").print();
+        let packet_ns = start.elapsed().as_nanos() as f64 / count as f64;
+        Figure::new("flows.packet_cost", &case, packet_ns, "ns/packet").print();
         let bytes = machine.bytes() as f64;
         Figure::new("flows.table", &case, bytes / 1024.0 / 1024.0, "MiB").print();
         memories.push((held as f64, bytes));
-        times.push((held as f64, time));
+        times.push((held as f64, packet_ns));
         let mut copies = Vec::new();
         let start = Instant::now();
         for second in 1..=20 {
             machine.tick(NOW + Duration::from_secs(second), &mut copies);
         }
-        let tick = start.elapsed().as_micros() as f64 / 20.0;
-        Figure::new("flows.background", &case, tick, "us a second").print();
+        let tick_us = start.elapsed().as_micros() as f64 / 20.0;
+        Figure::new("flows.background", &case, tick_us, "us a second").print();
     }
     let case = "by flow held";
     Fit::new(&memories).print("capacity.flows_memory", case, "B");
@@ -73,7 +73,7 @@
         leaving: false,
         reachable: true,
     };
-    let limit = usize::try_from(held).unwrap() * PLACES / 7 + PLACES;
+    let limit = usize::try_from(held).unwrap() * AREA_DIVISOR / 7 + AREA_DIVISOR;
     let mut machine = Owners::new(Duration::ZERO, own, limit, 1);
     let endpoints: Vec<_> = (0..14)
         .map(|index| Endpoint {
--- a/crates/steering/benches/flows.rs
+++ b/crates/steering/benches/flows.rs
@@ -1,4 +1,4 @@
-//! All ways of steering with the same seed, flows and schedule of changes.
+//! Comparison of the steering methods with the same seed, flows and schedule of changes.
 
 #![allow(missing_docs, reason = "a benchmark has no public items")]
 
@@ -20,13 +20,13 @@
     Endpoint,
     EndpointId,
     FlowId,
-    History,
+    HistorySteering,
     Learning,
     Owners,
     Peer,
     Phase,
     ServiceId,
-    Stateless,
+    StatelessSteering,
     Steer, //
 };
 use rand::{
@@ -38,16 +38,16 @@
 
 const SEED: u64 = 20;
 
-/// Flows that an entry may remember.
+/// Size of an entry's flow table.
 const LIMIT: usize = 150_000;
 
-/// Flows held when the time of a decision is taken.
+/// Number of flows held when decisions are timed.
 const HELD: usize = 500_000;
 
-/// Decisions that are timed.
+/// Number of timed decisions.
 const DECISIONS: usize = 2_000_000;
 
-/// Connections of an endpoint.
+/// Number of connections per endpoint.
 const CONNECTIONS: usize = 2_000;
 
 struct Deployment {
@@ -72,8 +72,12 @@
 fn main() {
     for deployment in &DEPLOYMENTS {
         thread::scope(|scope| {
-            scope.spawn(|| run(deployment, "stateless", |_, _, _| Stateless::new()));
-            scope.spawn(|| run(deployment, "history", |now, own, _| History::new(now, own)));
+            scope.spawn(|| run(deployment, "stateless", |_, _, _| StatelessSteering::new()));
+            scope.spawn(|| {
+                run(deployment, "history", |now, own, _| {
+                    HistorySteering::new(now, own)
+                })
+            });
             scope.spawn(|| {
                 run(deployment, "owners, messages", |now, own, seed| {
                     Owners::new(now, own, LIMIT, seed).with_learning(Learning::Message)
@@ -93,9 +97,13 @@
     Duration::from_secs(count)
 }
 
-/// Runs the schedule with one way of steering.
-fn run<S: Steer + Clone>(deployment: &Deployment, way: &str, make: fn(Duration, Peer, u64) -> S) {
-    let mut driver = Driver::new(SEED, make);
+/// Runs the schedule with one steering method.
+fn run<S: Steer + Clone>(
+    deployment: &Deployment,
+    method: &str,
+    new_machine: fn(Duration, Peer, u64) -> S,
+) {
+    let mut driver = Driver::new(SEED, new_machine);
     for (name, count) in deployment.services {
         let service = ServiceId::new(name);
         for _ in 0..count {
@@ -112,23 +120,23 @@
         driver.traffic.targets.insert(ServiceId::new(name), target);
     }
     driver.run(seconds(6));
-    steady(&mut driver, deployment, way);
-    planned(driver.clone(), deployment, way);
-    deaths(driver, deployment, way);
+    steady(&mut driver, deployment, method);
+    planned(driver.clone(), deployment, method);
+    crashes(driver, deployment, method);
 }
 
-fn figure(deployment: &Deployment, way: &str, name: &str, case: &str, value: f64, unit: &str) {
-    let case = format!("{}, {way}, {case}", deployment.name);
+fn figure(deployment: &Deployment, method: &str, name: &str, case: &str, value: f64, unit: &str) {
+    let case = format!("{}, {method}, {case}", deployment.name);
     Figure::new(name, &case, value, unit).print();
 }
 
-fn steady<S: Steer>(driver: &mut Driver<S>, deployment: &Deployment, way: &str) {
+fn steady<S: Steer>(driver: &mut Driver<S>, deployment: &Deployment, method: &str) {
     driver.counts = Default::default();
-    driver.traffic.reset();
+    driver.traffic.reset_imbalance();
     driver.run(seconds(10));
     let counts = driver.counts;
     let [mean, best] = driver.traffic.imbalance;
-    let show = |name, case, value, unit| figure(deployment, way, name, case, value, unit);
+    let show = |name, case, value, unit| figure(deployment, method, name, case, value, unit);
     show(
         "flows.imbalance",
         "steady, over mean, target 1.05",
@@ -144,10 +152,10 @@
     show("flows.broken", "steady", broken, "flows");
 }
 
-fn planned<S: Steer>(mut driver: Driver<S>, deployment: &Deployment, way: &str) {
+fn planned<S: Steer>(mut driver: Driver<S>, deployment: &Deployment, method: &str) {
     driver.counts = Default::default();
-    driver.traffic.reset();
-    let begin = driver.now;
+    driver.traffic.reset_imbalance();
+    let started = driver.now;
     let (first, _) = deployment.services[0];
     let service = ServiceId::new(first);
     driver.world.backends[0].drained = Some(driver.now);
@@ -163,7 +171,7 @@
     driver.start(1, seconds(1));
     driver.run(seconds(5));
     let counts = driver.counts;
-    let show = |name, case, value, unit| figure(deployment, way, name, case, value, unit);
+    let show = |name, case, value, unit| figure(deployment, method, name, case, value, unit);
     let broken = counts.broken as f64;
     show("flows.broken", "planned changes, target 0", broken, "flows");
     let [mean, best] = driver.traffic.imbalance;
@@ -176,13 +184,13 @@
     show("flows.imbalance", "changing, over best possible", best, "");
     let hops = counts.hops as f64 / counts.packets as f64;
     show("flows.extra_hops", "changing", hops, "hops/packet");
-    let time = (driver.now - begin).as_secs_f64();
+    let time = (driver.now - started).as_secs_f64();
     let bytes = counts.control_bytes as f64 / 8.0 / time;
     show("flows.control_bytes", "changing, target 4096", bytes, "B/s");
 }
 
-fn deaths<S: Steer>(mut driver: Driver<S>, deployment: &Deployment, way: &str) {
-    let show = |name, case, value, unit| figure(deployment, way, name, case, value, unit);
+fn crashes<S: Steer>(mut driver: Driver<S>, deployment: &Deployment, method: &str) {
+    let show = |name, case, value, unit| figure(deployment, method, name, case, value, unit);
     for (case, index) in [("one death", 2), ("second death 15 s later", 5)] {
         driver.counts = Default::default();
         driver.kill(index);
@@ -194,7 +202,7 @@
     }
 }
 
-/// Time and memory of a decision with many flows held.
+/// Measures the time of a decision and the memory per flow with many flows held.
 fn decide() {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let service = ServiceId::new("booking-desk");
--- a/crates/steering/src/action.rs
+++ b/crates/steering/src/action.rs
@@ -1,4 +1,4 @@
-//! What is to be done with a packet.
+//! Decisions on packets.
 
 use codes::Code;
 
@@ -7,17 +7,17 @@
     InstanceId, //
 };
 
-/// What is to be done with a packet; `H` is what travels with it between entries.
+/// Decision on a packet; `H` is the header that it carries between entries.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Action<H> {
-    /// Drops it; the caller's retransmission may fare better.
+    /// Drops it; a retransmission by the client may succeed.
     Drop(Code),
-    /// Sends it to the endpoint.
+    /// Forwards it to the endpoint.
     Forward(EndpointId),
-    /// Sends it to the endpoint and tells the entry which one that is.
+    /// Forwards it to the endpoint and notifies the entry of the flow's endpoint.
     Hint(EndpointId, InstanceId),
-    /// Hands it to another entry.
+    /// Hands it over to another entry.
     Pass(InstanceId, H),
-    /// Answers the caller that there is no such flow.
+    /// Rejects it with a TCP reset or an ICMP message to the client.
     Refuse(Code),
 }
--- a/crates/steering/src/arrival.rs
+++ b/crates/steering/src/arrival.rs
@@ -1,30 +1,30 @@
-//! A packet as steering needs it.
+//! The properties of a packet that steering decides on.
 
 use crate::identity::{
     FlowId,
     ServiceId, //
 };
 
-/// A packet's place in its flow.
+/// A packet's position in its flow.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Phase {
-    /// It is among the last: TCP with FIN or RST.
+    /// Closes the flow: TCP with FIN or RST.
     Closes,
-    /// It may be the first or a later one: UDP.
+    /// May be the first or a later one: UDP.
     Either,
-    /// It is not the first.
+    /// Belongs to an open flow: any other TCP segment.
     Follows,
-    /// It is the first: TCP with SYN and without ACK.
+    /// Opens the flow: TCP with SYN and without ACK.
     Opens,
 }
 
-/// A packet as steering needs it.
+/// The properties of a packet that steering decides on.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Arrival {
-    /// The flow that it belongs to.
+    /// Its flow.
     pub flow: FlowId,
-    /// Its place in the flow.
+    /// Its position in the flow.
     pub phase: Phase,
-    /// The service that it is addressed to.
+    /// The service at its destination.
     pub service: ServiceId,
 }
--- a/crates/steering/src/decisions.rs
+++ b/crates/steering/src/decisions.rs
@@ -1,4 +1,4 @@
-//! What becomes of a packet, by the owners of its flow.
+//! Decisions on packets by the owners of their flows.
 
 use std::time::Duration;
 
@@ -30,33 +30,39 @@
     },
 };
 
-/// Entries that are asked about an unknown flow at most.
-const MAX_ASKED: usize = 8;
+/// Maximum number of entries that are queried about an unknown flow.
+const MAX_QUERIED: usize = 8;
 
-type Move = Action<Header>;
+type Decision = Action<Header>;
 
 impl Owners {
-    pub(crate) fn ask(&mut self, now: Duration, arrival: &Arrival, header: Header) -> Move {
-        match self.flows.known(arrival) {
-            Some(record) => self.known(now, arrival, header, record),
-            None if arrival.phase == Phase::Opens => self.open(now, arrival, header),
-            None => self.seek(now, arrival, header),
+    pub(crate) fn decide(&mut self, now: Duration, arrival: &Arrival, header: Header) -> Decision {
+        match self.flows.lookup(arrival) {
+            Some(record) => self.decide_known(now, arrival, header, record),
+            None if arrival.phase == Phase::Opens => self.decide_first(now, arrival, header),
+            None => self.decide_unknown(now, arrival, header),
         }
     }
 
-    /// Decides on a packet of a flow that this entry remembers.
-    fn known(&mut self, now: Duration, arrival: &Arrival, header: Header, record: Record) -> Move {
+    /// Decides on a packet of a flow in this entry's table.
+    fn decide_known(
+        &mut self,
+        now: Duration,
+        arrival: &Arrival,
+        header: Header,
+        record: Record,
+    ) -> Decision {
         if self.flows.pool.service(record.endpoint) != Some(arrival.service) {
-            self.flows.forget(arrival.flow);
+            self.flows.remove(arrival.flow);
             return Action::Refuse(Code::FlowEndpointGone);
         }
-        match self.flows.pool.alive(record.endpoint) {
+        match self.flows.pool.live_id(record.endpoint) {
             Some(endpoint) => {
-                let record = self.flows.progress(now, arrival, record);
-                self.bring(arrival, header, record, endpoint)
+                let record = self.flows.record_packet(now, arrival, record);
+                self.deliver(arrival, header, record, endpoint)
             }
             None if self.view.settled(now) && self.flows.pool.gone(record.endpoint) => {
-                self.flows.forget(arrival.flow);
+                self.flows.remove(arrival.flow);
                 Action::Refuse(Code::FlowEndpointGone)
             }
             None => {
@@ -64,38 +70,39 @@
                     returns: false,
                     ..header
                 };
-                self.pass_on(arrival, header)
+                self.query_next(arrival, header)
                     .unwrap_or(Action::Drop(Code::FlowEndpointGone))
             }
         }
     }
 
-    /// Decides on the first packet of a flow: its first owner places it.
-    fn open(&mut self, now: Duration, arrival: &Arrival, header: Header) -> Move {
-        let first = self.view.first(arrival.flow);
-        let asked = |id| id == self.view.own() || header.visited.contains(id);
-        if asked(first) {
+    /// Decides on the first packet of a flow, which the flow's first owner places.
+    fn decide_first(&mut self, now: Duration, arrival: &Arrival, header: Header) -> Decision {
+        let first = self.view.first_owner(arrival.flow);
+        let queried = |id| id == self.view.own() || header.visited.contains(id);
+        if queried(first) {
             return self.place(now, arrival, header);
         }
-        match self.pass_on(arrival, header) {
+        match self.query_next(arrival, header) {
             Some(action) => action,
             None => self.place(now, arrival, header),
         }
     }
 
-    /// Decides on a packet of an unknown flow that may have been placed elsewhere.
-    fn seek(&mut self, now: Duration, arrival: &Arrival, header: Header) -> Move {
+    /// Decides on a packet of an unknown flow that another entry may have placed.
+    fn decide_unknown(&mut self, now: Duration, arrival: &Arrival, header: Header) -> Decision {
         let settled = self.view.settled(now);
         let either = arrival.phase == Phase::Either;
-        let asked = |id| id == self.view.own() || header.visited.contains(id);
+        let queried = |id| id == self.view.own() || header.visited.contains(id);
         let owners = self.view.owners(arrival.flow);
-        let enough = either && settled && owners.into_iter().flatten().all(|one| asked(one.id));
-        let onward = if enough {
+        let owners_queried =
+            either && settled && owners.into_iter().flatten().all(|one| queried(one.id));
+        let next = if owners_queried {
             None
         } else {
-            self.pass_on(arrival, header)
+            self.query_next(arrival, header)
         };
-        match onward {
+        match next {
             Some(action) => action,
             None if either => self.place(now, arrival, header),
             None if settled => Action::Refuse(Code::FlowEndpointGone),
@@ -103,93 +110,94 @@
         }
     }
 
-    /// Places a new flow.
-    fn place(&mut self, now: Duration, arrival: &Arrival, mut header: Header) -> Move {
+    /// Places a new flow on an endpoint.
+    fn place(&mut self, now: Duration, arrival: &Arrival, mut header: Header) -> Decision {
         if !self.view.joined(now) {
             return Action::Drop(Code::FlowNoEndpoint);
         }
         let Some(key) = self.flows.pool.place(arrival.service, &mut self.rng) else {
             return self
-                .pass_on(arrival, header)
+                .query_next(arrival, header)
                 .unwrap_or(Action::Refuse(Code::FlowNoEndpoint));
         };
         let record = Record::new(now, arrival.flow, key, Stage::Embryonic);
-        match (self.flows.remember(record), self.flows.pool.alive(key)) {
+        match (self.flows.insert(record), self.flows.pool.live_id(key)) {
             (Ok(()), Some(endpoint)) => {
                 header.returns = false;
                 header.visited.push(self.view.own());
-                self.bring(arrival, header, record, endpoint)
+                self.deliver(arrival, header, record, endpoint)
             }
             (Ok(()), None) => Action::Refuse(Code::FlowNoEndpoint),
             (Err(_), _) => Action::Refuse(Code::FlowTableFull),
         }
     }
 
-    /// Brings a packet whose endpoint is known on its way, through those who have to learn it.
-    fn bring(
+    /// Forwards a packet whose endpoint is known, by way of the entries that have to learn it.
+    fn deliver(
         &mut self,
         arrival: &Arrival,
         mut header: Header,
         record: Record,
         endpoint: EndpointId,
-    ) -> Move {
+    ) -> Decision {
         let own = self.view.own();
-        let ignorant = self.ignorant(arrival, &header);
+        let unaware = self.unaware_owner(arrival, &header);
         header.task = Task::Tell(endpoint);
         if usize::from(header.hops) >= MAX_HOPS {
             return Action::Forward(endpoint);
         }
-        if let Some(first) = ignorant {
-            return Action::Pass(first, self.step(header));
+        if let Some(first) = unaware {
+            return Action::Pass(first, self.add_hop(header));
         }
         if record.owned()
-            && let Some(other) = self.flows.owe(&self.view, record)
+            && let Some(other) = self.flows.replicate(&self.view, record)
         {
-            return Action::Pass(other, self.step(header));
+            return Action::Pass(other, self.add_hop(header));
         }
-        let back = header.returns && header.origin != own && self.view.reachable(header.origin);
+        let returning =
+            header.returns && header.origin != own && self.view.reachable(header.origin);
         match self.learning {
-            Learning::Message if back => Action::Hint(endpoint, header.origin),
-            Learning::Packet if back => Action::Pass(header.origin, self.step(header)),
+            Learning::Message if returning => Action::Hint(endpoint, header.origin),
+            Learning::Packet if returning => Action::Pass(header.origin, self.add_hop(header)),
             Learning::Message | Learning::Packet => Action::Forward(endpoint),
         }
     }
 
-    /// The flow's first owner, if it was asked and did not know the flow.
-    fn ignorant(&self, arrival: &Arrival, header: &Header) -> Option<InstanceId> {
+    /// The flow's first owner, if it was queried and did not know the flow.
+    fn unaware_owner(&self, arrival: &Arrival, header: &Header) -> Option<InstanceId> {
         if header.task != Task::Ask || header.visited.is_empty() {
             return None;
         }
-        let first = self.view.first(arrival.flow);
-        let asked = header.visited.contains(first) && first != self.view.own();
-        (asked && self.view.reachable(first)).then_some(first)
+        let first = self.view.first_owner(arrival.flow);
+        let queried = header.visited.contains(first) && first != self.view.own();
+        (queried && self.view.reachable(first)).then_some(first)
     }
 
-    /// Hands a packet whose flow is unknown here to the next entry that may know it.
-    fn pass_on(&self, arrival: &Arrival, mut header: Header) -> Option<Move> {
-        if header.visited.len() >= MAX_ASKED || usize::from(header.hops) >= MAX_HOPS {
+    /// Hands over a packet of an unknown flow to the next entry that may know it.
+    fn query_next(&self, arrival: &Arrival, mut header: Header) -> Option<Decision> {
+        if header.visited.len() >= MAX_QUERIED || usize::from(header.hops) >= MAX_HOPS {
             return None;
         }
         header.visited.push(self.view.own());
-        let next = self.view.next(arrival.flow, &header.visited)?;
+        let next = self.view.next_candidate(arrival.flow, &header.visited)?;
         header.task = Task::Ask;
-        Some(Action::Pass(next, self.step(header)))
+        Some(Action::Pass(next, self.add_hop(header)))
     }
 
-    /// Takes in the endpoint of a flow that another entry knows.
-    pub(crate) fn told(
+    /// Handles a packet whose endpoint another entry has determined.
+    pub(crate) fn handle_tell(
         &mut self,
         now: Duration,
         from: InstanceId,
         arrival: &Arrival,
         header: Header,
         endpoint: EndpointId,
-    ) -> Move {
+    ) -> Decision {
         let own = self.view.own();
-        if let Some(mine) = self.flows.rival(arrival, endpoint)
+        if let Some(existing) = self.flows.conflicting(arrival, endpoint)
             && !header.visited.contains(own)
         {
-            return self.correct(from, header, mine);
+            return self.return_existing(from, header, existing);
         }
         let Some(key) = self.flows.pool.intern(endpoint, arrival.service) else {
             return Action::Forward(endpoint);
@@ -206,33 +214,39 @@
             && old.endpoint == key
             && old.owned()
         {
-            record.stage = old.advance(arrival.phase);
+            record.stage = old.next_stage(arrival.phase);
         }
         if record.owned() {
-            record.holder = self.view.peer(from).map_or(0, Peer::tag);
-        }
-        // Without room the flow is asked for again.
-        let _kept = self.flows.remember(record);
-        if self.flows.pool.alive(key).is_none() && usize::from(header.hops) < MAX_HOPS {
-            // The sender has heard of the endpoint, and forwards the packet itself.
-            let mut header = self.step(header);
+            record.replica = self.view.peer(from).map_or(0, Peer::tag);
+        }
+        // If the table is full, the flow is queried again with its next packet.
+        let _result = self.flows.insert(record);
+        if self.flows.pool.live_id(key).is_none() && usize::from(header.hops) < MAX_HOPS {
+            // The endpoint's address is unknown here but known to the sender, which forwards the
+            // packet.
+            let mut header = self.add_hop(header);
             header.returns = false;
             return Action::Pass(from, header);
         }
-        self.bring(arrival, header, record, endpoint)
+        self.deliver(arrival, header, record, endpoint)
     }
 
-    /// Tells an entry that placed a flow anew where it has been placed before.
-    fn correct(&self, from: InstanceId, mut header: Header, mine: EndpointId) -> Move {
+    /// Returns a packet with the flow's existing endpoint to an entry that placed the flow again.
+    fn return_existing(
+        &self,
+        from: InstanceId,
+        mut header: Header,
+        existing: EndpointId,
+    ) -> Decision {
         if usize::from(header.hops) >= MAX_HOPS {
-            return Action::Forward(mine);
+            return Action::Forward(existing);
         }
         header.visited.push(self.view.own());
-        header.task = Task::Tell(mine);
-        Action::Pass(from, self.step(header))
+        header.task = Task::Tell(existing);
+        Action::Pass(from, self.add_hop(header))
     }
 
-    fn step(&self, header: Header) -> Header {
+    fn add_hop(&self, header: Header) -> Header {
         Header {
             hops: header.hops.saturating_add(1),
             ..header
--- a/crates/steering/src/encapsulation.rs
+++ b/crates/steering/src/encapsulation.rs
@@ -5,10 +5,10 @@
 /// Length of a GRE header without options (RFC 2784), in bytes.
 pub const GRE_BYTES: usize = 4;
 
-/// GRE header without options that announces an IPv4 packet.
+/// GRE header without options for an IPv4 packet.
 pub const GRE_IPV4: [u8; GRE_BYTES] = [0, 0, 0x08, 0x00];
 
-/// GRE header without options that announces an IPv6 packet.
+/// GRE header without options for an IPv6 packet.
 pub const GRE_IPV6: [u8; GRE_BYTES] = [0, 0, 0x86, 0xdd];
 
 /// The IP packet within a GRE-in-UDP datagram.
@@ -16,7 +16,7 @@
 pub struct Payload<'a>(pub &'a [u8]);
 
 impl<'a> Payload<'a> {
-    /// Takes the GRE header off a datagram.
+    /// Strips the GRE header from a datagram.
     ///
     /// # Errors
     ///
--- a/crates/steering/src/endpoint.rs
+++ b/crates/steering/src/endpoint.rs
@@ -1,26 +1,26 @@
-//! An endpoint as steering needs it.
+//! The properties of an endpoint that steering decides on.
 
 use crate::identity::{
     EndpointId,
     ServiceId, //
 };
 
-/// What steering knows of one incarnation of an endpoint that is alive.
+/// One live incarnation of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
     /// Its identity.
     pub id: EndpointId,
-    /// Share of its capacity in use as it last reported: 0 idle, 1 full.
+    /// Last reported fraction of its capacity in use: 0 idle, 1 full.
     pub load: f32,
-    /// The service that it serves.
+    /// Its service.
     pub service: ServiceId,
-    /// Share of its weight with which it takes new flows now, in thousandths; 0 for none.
+    /// Fraction of its weight currently used for new flows, in thousandths; 0 for no new flows.
     pub share: u16,
-    /// Its capacity in relation to the service's other endpoints; 0 counts as 1.
+    /// Its capacity relative to the service's other endpoints; 0 counts as 1.
     pub weight: u32,
 }
 
 impl Endpoint {
-    /// The share of an endpoint that takes new flows with its full weight.
+    /// The share of an endpoint that gets new flows at its full weight.
     pub const FULL_SHARE: u16 = 1000;
 }
--- a/crates/steering/src/error.rs
+++ b/crates/steering/src/error.rs
@@ -1,9 +1,9 @@
-//! Why a datagram from the fabric was refused.
+//! Errors of datagrams from the fabric.
 
 use codes::Code;
 use thiserror::Error as ThisError;
 
-/// A datagram from the fabric that is not a packet of a flow.
+/// Why a datagram from the fabric is not a valid packet of a flow.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(ThisError)]
 pub enum Error {
--- a/crates/steering/src/flow.rs
+++ b/crates/steering/src/flow.rs
@@ -1,31 +1,31 @@
-//! What identifies a flow.
+//! Identification of flows by their addresses, ports and protocol.
 
 use std::net::IpAddr;
 
 /// The transport protocol of a flow.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Transport {
-    /// Transmission control protocol.
+    /// Transmission Control Protocol.
     Tcp,
-    /// User datagram protocol.
+    /// User Datagram Protocol.
     Udp,
 }
 
-/// Where the packets of a flow go.
+/// Destination of a flow's packets.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Destination {
     /// Destination address.
     pub ip: IpAddr,
     /// Destination port.
     pub port: u16,
-    /// The transport protocol.
+    /// Transport protocol.
     pub transport: Transport,
 }
 
 /// Source, destination and transport protocol: the same for all packets of a flow.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Flow {
-    /// Where the packets go.
+    /// Destination of the packets.
     pub destination: Destination,
     /// Source address.
     pub ip: IpAddr,
--- a/crates/steering/src/flows.rs
+++ b/crates/steering/src/flows.rs
@@ -1,4 +1,4 @@
-//! The flows that an entry remembers, with the endpoints that they go to.
+//! The flows known to an entry and their endpoints.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     view::View,
 };
 
-/// The flows that an entry remembers, with the endpoints that they go to.
+/// The flows known to an entry and their endpoints.
 #[derive(Clone, Debug)]
 pub struct Flows {
     /// The endpoints.
@@ -36,7 +36,7 @@
 }
 
 impl Flows {
-    /// Creates room for `limit` flows.
+    /// Creates an empty table for `limit` flows.
     pub fn new(limit: usize) -> Self {
         Self {
             pool: Pool::default(),
@@ -44,13 +44,14 @@
         }
     }
 
-    /// The record that decides on a packet.
+    /// The record to use for a packet, if this entry may decide by it.
     ///
-    /// A first packet is decided by an owner, and anew if its endpoint takes nothing more.
-    pub fn known(&self, arrival: &Arrival) -> Option<Record> {
+    /// A cached record does not decide on the first and the last packet. A first packet of a flow
+    /// that is past its first packet is placed again if its endpoint accepts no new flows.
+    pub fn lookup(&self, arrival: &Arrival) -> Option<Record> {
         let record = self.table.get(arrival.flow)?;
         match (arrival.phase, record.stage) {
-            // An owner has to learn of the first packet and of the last.
+            // The owners must see the first packet and the last.
             (Phase::Closes | Phase::Opens, Stage::Cached) => None,
             (Phase::Opens, Stage::Closing | Stage::Established)
                 if !self.pool.accepts(record.endpoint) =>
@@ -61,15 +62,15 @@
         }
     }
 
-    /// Notes a packet of a known flow.
-    pub fn progress(&mut self, now: Duration, arrival: &Arrival, record: Record) -> Record {
+    /// Updates the record of a flow with a packet.
+    pub fn record_packet(&mut self, now: Duration, arrival: &Arrival, record: Record) -> Record {
         let mut next = record;
         next.touch(now);
-        next.stage = record.advance(arrival.phase);
+        next.stage = record.next_stage(arrival.phase);
         if next.stage != record.stage {
-            // The other owner's copy has to follow.
+            // The other owner's copy must be updated.
             next.epoch = 0;
-            next.holder = 0;
+            next.replica = 0;
         }
         if next.stage == record.stage {
             if next.seen != record.seen {
@@ -77,7 +78,7 @@
             }
             return next;
         }
-        match self.remember(next) {
+        match self.insert(next) {
             Ok(()) => next,
             Err(Full) => record,
         }
@@ -88,9 +89,9 @@
     /// # Errors
     ///
     /// [`Full`] if there is no room.
-    pub fn remember(&mut self, record: Record) -> Result<(), Full> {
-        let out = self.table.put(record)?;
-        for old in out.into_iter().flatten() {
+    pub fn insert(&mut self, record: Record) -> Result<(), Full> {
+        let displaced = self.table.put(record)?;
+        for old in displaced.into_iter().flatten() {
             self.pool.release(old.endpoint, old.open());
         }
         self.pool.hold(record.endpoint, record.open());
@@ -98,25 +99,26 @@
     }
 
     /// Removes a flow.
-    pub fn forget(&mut self, flow: FlowId) {
+    pub fn remove(&mut self, flow: FlowId) {
         if let Some(old) = self.table.remove(flow) {
             self.pool.release(old.endpoint, old.open());
         }
     }
 
-    /// The endpoint that this entry has placed the same new flow on, if it is another one.
-    pub fn rival(&self, arrival: &Arrival, endpoint: EndpointId) -> Option<EndpointId> {
+    /// The other endpoint on which this entry has already placed the same new flow.
+    pub fn conflicting(&self, arrival: &Arrival, endpoint: EndpointId) -> Option<EndpointId> {
         let record = self.table.get(arrival.flow)?;
-        let mine = self.pool.alive(record.endpoint)?;
-        let fresh = matches!(
+        let existing = self.pool.live_id(record.endpoint)?;
+        let is_new = matches!(
             (arrival.phase, record.stage),
             (Phase::Opens | Phase::Either, Stage::Embryonic) | (Phase::Either, Stage::Established)
         );
-        (fresh && mine != endpoint).then_some(mine)
+        (is_new && existing != endpoint).then_some(existing)
     }
 
-    /// Takes in a flow that another entry told of, unless more is known already.
-    pub fn copy(&mut self, now: Duration, copy: &Copied, owned: bool, holder: u16) {
+    /// Inserts a copy received from another entry, unless the known record is owned or the copy
+    /// would only be cached.
+    pub fn insert_copy(&mut self, now: Duration, copy: &Copied, owned: bool, sender_tag: u16) {
         let known = self.table.get(copy.flow);
         if known.is_some_and(|record| record.owned() || !owned) {
             return;
@@ -130,22 +132,22 @@
             Stage::Cached
         };
         let mut record = Record::new(now, copy.flow, key, stage);
-        record.holder = if owned { holder } else { 0 };
-        // Without room the flow is asked for when its next packet comes.
-        let _kept = self.remember(record);
+        record.replica = if owned { sender_tag } else { 0 };
+        // If the table is full, the flow is queried with its next packet.
+        let _result = self.insert(record);
     }
 
-    /// The entry that must be told of an owned flow, so that there are two copies; it counts as
-    /// told from then on.
-    pub fn owe(&mut self, view: &View, record: Record) -> Option<InstanceId> {
+    /// Marks an owned flow as having its second copy; returns the entry that must be sent it, if
+    /// the copy is missing.
+    pub fn replicate(&mut self, view: &View, record: Record) -> Option<InstanceId> {
         if record.epoch == view.epoch() {
             return None;
         }
-        let missing = missing(view, &record);
+        let missing = missing_copy(view, &record);
         let mut next = record;
         next.epoch = view.epoch();
         if let Some(peer) = missing {
-            next.holder = peer.tag();
+            next.replica = peer.tag();
         }
         if !view.owns(record.flow) && missing.is_some() && !view.leaving() {
             next.stage = Stage::Cached;
@@ -154,22 +156,22 @@
             self.table.rewrite(next);
             return missing.map(|peer| peer.id);
         }
-        // A record that leaves its area may find no room in the other; it stays as it is then.
-        let _kept = self.remember(next);
+        // The record is unchanged if the table's area for its new stage is full.
+        let _result = self.insert(next);
         missing.map(|peer| peer.id)
     }
 }
 
-/// The entry that should have a copy of a flow and has none.
-pub fn missing<'a>(view: &'a View, record: &Record) -> Option<&'a Peer> {
+/// The entry that should hold the second copy of a flow and does not.
+pub fn missing_copy<'a>(view: &'a View, record: &Record) -> Option<&'a Peer> {
     let owners = view.owners(record.flow);
     let mut others = owners
         .into_iter()
         .flatten()
         .filter(|owner| owner.id != view.own());
-    if others.any(|owner| owner.tag() == record.holder) {
+    if others.any(|owner| owner.tag() == record.replica) {
         return None;
     }
-    view.other(record.flow)
-        .filter(|peer| peer.tag() != record.holder)
+    view.other_owner(record.flow)
+        .filter(|peer| peer.tag() != record.replica)
 }
--- a/crates/steering/src/header.rs
+++ b/crates/steering/src/header.rs
@@ -1,14 +1,14 @@
-//! What travels with a packet from one entry to another.
+//! Header of a packet that one entry hands over to another.
 
 use crate::identity::{
     EndpointId,
     InstanceId, //
 };
 
-/// Entries that a packet passes at most.
+/// Maximum number of handovers of a packet.
 pub const MAX_HOPS: usize = 10;
 
-/// The entries that were asked about a packet's flow, in order.
+/// The entries that were queried about a packet's flow, in order.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Visited {
     ids: [InstanceId; MAX_HOPS],
@@ -16,17 +16,17 @@
 }
 
 impl Visited {
-    /// The entries, with their number.
+    /// The array of entries and the number of them in use.
     pub const fn parts(&self) -> ([InstanceId; MAX_HOPS], u8) {
         (self.ids, self.length)
     }
 
-    /// Puts together what [`parts`](Self::parts) gave.
+    /// Creates the list from its [`parts`](Self::parts).
     pub const fn from_parts(ids: [InstanceId; MAX_HOPS], length: u8) -> Self {
         Self { ids, length }
     }
 
-    /// Adds an entry; whether there was room.
+    /// Adds an entry; returns whether there was room.
     pub fn push(&mut self, id: InstanceId) -> bool {
         match self.ids.get_mut(usize::from(self.length)) {
             Some(place) => {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether an entry was asked.
+    /// Whether an entry was queried.
     pub fn contains(&self, id: InstanceId) -> bool {
         self.iter().any(|visited| visited == id)
     }
@@ -53,32 +53,32 @@
         usize::from(self.length)
     }
 
-    /// Whether no entry was asked.
+    /// Whether no entry was queried.
     pub const fn is_empty(&self) -> bool {
         self.length == 0
     }
 }
 
-/// What an entry wants of the next.
+/// What the receiving entry is to do.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Task {
-    /// Finds out which endpoint the flow has.
+    /// Determine the flow's endpoint.
     Ask,
-    /// Remembers the flow's endpoint and brings the packet on its way.
+    /// Record the flow's endpoint and forward the packet.
     Tell(EndpointId),
 }
 
-/// What travels with a packet from one entry to another.
+/// Header of a packet that one entry hands over to another.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Header {
-    /// Entries that the packet has passed.
+    /// Number of handovers so far.
     pub hops: u8,
     /// The entry that received it from the fabric.
     pub origin: InstanceId,
-    /// Whether the origin learns the flow's endpoint: the packet returns there.
+    /// Whether the packet returns to the origin, which learns the flow's endpoint from it.
     pub returns: bool,
-    /// What the next entry is to do.
+    /// What the receiving entry is to do.
     pub task: Task,
-    /// The entries that were asked.
+    /// The entries that were queried.
     pub visited: Visited,
 }
--- a/crates/steering/src/history.rs
+++ b/crates/steering/src/history.rs
@@ -1,4 +1,4 @@
-//! Steering by hashing with slot history.
+//! Steering by hashing with slot history: a comparison method of the benchmark.
 
 use std::{
     collections::{
@@ -33,7 +33,7 @@
     view::View,
 };
 
-/// Slots of a service; a power of two.
+/// Number of slots of a service; a power of two.
 const SLOTS: u64 = 4096;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -45,11 +45,11 @@
 
 /// Steering by hashing with slot history.
 ///
-/// A packet in a slot that never changed goes straight to the slot's endpoint. In a changed slot
-/// the slot's owner among the entries decides: a flow whose first packet it saw since the change
-/// goes to the new endpoint, any other to the one before.
+/// A packet in an unchanged slot is forwarded directly to the slot's endpoint. In a changed slot
+/// the entry that owns the slot decides: a flow whose first packet it saw after the change goes to
+/// the new endpoint, any other to the previous one.
 #[derive(Clone, Debug)]
-pub struct History {
+pub struct HistorySteering {
     alive: Vec<EndpointId>,
     opened: HashMap<FlowId, EndpointId>,
     pool: Pool,
@@ -57,8 +57,8 @@
     view: View,
 }
 
-impl History {
-    /// Creates the machine of an entry that has just started.
+impl HistorySteering {
+    /// Creates the state machine of an entry that has just started.
     pub fn new(now: Duration, own: Peer) -> Self {
         Self {
             alive: Vec::new(),
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Number of flows that it remembers.
+    /// Number of flows in the table.
     pub fn len(&self) -> usize {
         self.opened.len()
     }
 
-    /// Whether it remembers no flow.
+    /// Whether there is no flow in the table.
     pub fn is_empty(&self) -> bool {
         self.opened.is_empty()
     }
@@ -95,7 +95,7 @@
     }
 }
 
-impl Steer for History {
+impl Steer for HistorySteering {
     type Header = ();
 
     fn copied(&mut self, _: Duration, _: InstanceId, _: &[Copied]) {}
@@ -139,7 +139,7 @@
     fn packet(&mut self, _: Duration, arrival: &Arrival) -> Action<()> {
         let key = (arrival.service, arrival.flow.0 % SLOTS);
         let slot = self.slots.get(&key).copied().unwrap_or_default();
-        let owner = self.view.first(FlowId(key.1));
+        let owner = self.view.first_owner(FlowId(key.1));
         match slot.current {
             Some(endpoint) if slot.previous.is_none() => Action::Forward(endpoint),
             Some(_) if owner != self.view.own() => Action::Pass(owner, ()),
--- a/crates/steering/src/identity.rs
+++ b/crates/steering/src/identity.rs
@@ -1,4 +1,4 @@
-//! Fixed-size identities that all instances derive alike from names and headers.
+//! Fixed-size identities that every instance derives identically from names and headers.
 
 use std::{
     hash::Hasher,
@@ -14,7 +14,7 @@
 
 /// Identity of one incarnation of an endpoint.
 ///
-/// An address that comes back under another name, service or incarnation has another identity.
+/// An address reused under another name, service or incarnation has another identity.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct EndpointId(pub u64);
 
@@ -22,8 +22,8 @@
     /// Derives the identity of an incarnation of the endpoint `name` of `service`.
     pub fn new(name: &str, service: &str, incarnation: u64) -> Self {
         let mut hasher = SipHasher13::new();
-        text(&mut hasher, name);
-        text(&mut hasher, service);
+        write_text(&mut hasher, name);
+        write_text(&mut hasher, service);
         hasher.write(&incarnation.to_le_bytes());
         Self(hasher.finish())
     }
@@ -37,9 +37,9 @@
     /// Derives the identity of a flow from its addresses, ports and protocol.
     pub fn new(flow: &Flow) -> Self {
         let mut hasher = SipHasher13::new();
-        address(&mut hasher, flow.ip);
+        write_address(&mut hasher, flow.ip);
         hasher.write(&flow.port.to_le_bytes());
-        address(&mut hasher, flow.destination.ip);
+        write_address(&mut hasher, flow.destination.ip);
         hasher.write(&flow.destination.port.to_le_bytes());
         hasher.write(match flow.destination.transport {
             Transport::Tcp => &[6],
@@ -48,8 +48,8 @@
         Self(hasher.finish())
     }
 
-    /// A number that is evenly spread over flows for each `salt`.
-    pub(crate) const fn spread(self, salt: u64) -> u64 {
+    /// Hash of the flow with a salt.
+    pub(crate) const fn salted_hash(self, salt: u64) -> u64 {
         mix(self.0 ^ mix(salt))
     }
 }
@@ -61,7 +61,7 @@
 impl InstanceId {
     /// Derives the identity of the instance `name`.
     pub fn new(name: &str) -> Self {
-        Self(low(digest(name)))
+        Self(low_half(digest(name)))
     }
 }
 
@@ -83,24 +83,24 @@
     value ^ (value >> 31)
 }
 
-/// The low half of a number.
-pub const fn low(value: u64) -> u32 {
+/// The low half of an integer.
+pub const fn low_half(value: u64) -> u32 {
     let [a, b, c, d, ..] = value.to_le_bytes();
     u32::from_le_bytes([a, b, c, d])
 }
 
 fn digest(name: &str) -> u64 {
     let mut hasher = SipHasher13::new();
-    text(&mut hasher, name);
+    write_text(&mut hasher, name);
     hasher.finish()
 }
 
-fn text(hasher: &mut SipHasher13, text: &str) {
+fn write_text(hasher: &mut SipHasher13, text: &str) {
     hasher.write(text.as_bytes());
     hasher.write(&[0xff]);
 }
 
-fn address(hasher: &mut SipHasher13, ip: IpAddr) {
+fn write_address(hasher: &mut SipHasher13, ip: IpAddr) {
     match ip {
         IpAddr::V4(ip) => hasher.write(&ip.octets()),
         IpAddr::V6(ip) => hasher.write(&ip.octets()),
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,4 +1,4 @@
-//! Which endpoint each packet of a flow goes to.
+//! Flow steering: chooses the endpoint for each packet, the same one for all packets of a flow.
 
 mod action;
 mod arrival;
@@ -48,7 +48,7 @@
         Task,
         Visited, //
     },
-    history::History,
+    history::HistorySteering,
     identity::{
         EndpointId,
         FlowId,
@@ -62,7 +62,7 @@
     packet::Packet,
     peer::Peer,
     refusal::refusal,
-    stateless::Stateless,
+    stateless::StatelessSteering,
     steer::{
         Copied,
         Steer, //
--- a/crates/steering/src/owners.rs
+++ b/crates/steering/src/owners.rs
@@ -1,4 +1,4 @@
-//! Steering by the owners of each flow: the way that the daemon uses.
+//! Steering by the owners of each flow: the method that the daemon uses.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     view::View,
 };
 
-/// How an entry learns the endpoint of a flow that it had to ask for.
+/// How an entry learns the endpoint of a flow that it queried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Learning {
     /// The owner sends it a message.
@@ -39,9 +39,9 @@
 
 /// Steering by the owners of each flow.
 ///
-/// A flow has two owners among the entries, by rendezvous hashing. Its first packet passes
-/// through both: the first one places the flow, the second one keeps a copy. Any other entry
-/// asks the owners by handing them the packet, and learns when it returns.
+/// Each flow has two owners among the entries, by rendezvous hashing. Its first packet passes
+/// through both: the first owner places the flow, the second one keeps a copy. Any other entry
+/// queries the owners by handing over the packet to them, and learns the endpoint when it returns.
 #[derive(Clone, Debug)]
 pub struct Owners {
     pub(crate) flows: Flows,
@@ -52,9 +52,9 @@
 }
 
 impl Owners {
-    /// Creates the machine of an entry that has just started.
+    /// Creates the state machine of an entry that has just started.
     ///
-    /// `limit` is the number of flows that it can remember.
+    /// `limit` is the size of its flow table.
     pub fn new(now: Duration, own: Peer, limit: usize, seed: u64) -> Self {
         Self {
             flows: Flows::new(limit),
@@ -65,34 +65,35 @@
         }
     }
 
-    /// Sets how the entry's peers learn from it.
+    /// Sets how the entry's peers learn flows from it.
     pub const fn with_learning(mut self, learning: Learning) -> Self {
         self.learning = learning;
         self
     }
 
-    /// Sets the bytes a second that copies of flows may take.
+    /// Sets the limit of the traffic for flow copies, in bytes per second.
     pub const fn with_rate(mut self, rate: u32) -> Self {
         self.replication.set_rate(rate);
         self
     }
 
-    /// Number of flows that it remembers.
+    /// Number of flows in the table.
     pub fn len(&self) -> usize {
         self.flows.table.len()
     }
 
-    /// Whether it remembers no flow.
+    /// Whether there is no flow in the table.
     pub fn is_empty(&self) -> bool {
         self.flows.table.is_empty()
     }
 
-    /// Bytes of memory that its flows take.
+    /// Memory allocated by the flow table, in bytes.
     pub fn bytes(&self) -> usize {
         self.flows.table.bytes()
     }
 
-    /// Concludes nothing from what is unknown for a while, as after a pause of the process.
+    /// Treats the view as unsettled for a while, as after a pause of the process: flows and
+    /// endpoints that are unknown may still exist.
     pub fn unsettle(&mut self, now: Duration) {
         self.view.unsettle(now);
     }
@@ -102,10 +103,10 @@
     type Header = Header;
 
     fn copied(&mut self, now: Duration, from: InstanceId, copies: &[Copied]) {
-        let holder = self.view.peer(from).map_or(0, Peer::tag);
+        let sender_tag = self.view.peer(from).map_or(0, Peer::tag);
         for copy in copies {
             let owned = self.view.owns(copy.flow);
-            self.flows.copy(now, copy, owned, holder);
+            self.flows.insert_copy(now, copy, owned, sender_tag);
         }
     }
 
@@ -121,8 +122,8 @@
         header: Header,
     ) -> Action<Header> {
         match header.task {
-            Task::Ask => self.ask(now, arrival, header),
-            Task::Tell(endpoint) => self.told(now, from, arrival, header, endpoint),
+            Task::Ask => self.decide(now, arrival, header),
+            Task::Tell(endpoint) => self.handle_tell(now, from, arrival, header, endpoint),
         }
     }
 
@@ -143,7 +144,7 @@
             task: Task::Ask,
             visited: Visited::default(),
         };
-        self.ask(now, arrival, header)
+        self.decide(now, arrival, header)
     }
 
     fn peers(&mut self, now: Duration, peers: &[Peer]) {
--- a/crates/steering/src/packet.rs
+++ b/crates/steering/src/packet.rs
@@ -1,4 +1,4 @@
-//! The headers of one packet.
+//! Parsing of a packet's headers.
 
 use etherparse::{
     IpNumber,
@@ -17,17 +17,17 @@
     },
 };
 
-/// What steering reads from one packet's headers.
+/// The parts of a packet's headers that steering uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Packet {
-    /// The flow that it belongs to.
+    /// Its flow.
     pub flow: Flow,
-    /// Its place in the flow.
+    /// Its position in the flow.
     pub phase: Phase,
 }
 
 impl Packet {
-    /// Reads the headers of an IP packet.
+    /// Parses the headers of an IP packet.
     ///
     /// # Errors
     ///
--- a/crates/steering/src/pool.rs
+++ b/crates/steering/src/pool.rs
@@ -1,4 +1,4 @@
-//! The endpoints that flows are placed on.
+//! Endpoints and the placement of new flows on them.
 
 use std::collections::HashMap;
 
@@ -12,8 +12,8 @@
     },
 };
 
-/// Largest factor by which a reported load makes an endpoint look fuller than it is.
-const LARGEST_PENALTY: f64 = 2.0;
+/// Maximum factor by which a reported load raises an endpoint's score.
+const MAX_PENALTY: f64 = 2.0;
 
 /// Key of an endpoint in the pool.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
@@ -21,27 +21,27 @@
 
 #[derive(Clone, Debug)]
 struct Slot {
-    /// The endpoint; none once it is gone.
+    /// The endpoint; `None` if it is unknown or gone.
     endpoint: Option<Endpoint>,
-    /// Flows placed here for which this instance answers.
-    held: u32,
+    /// Number of open flows on the endpoint that this instance owns.
+    flows: u32,
     id: EndpointId,
-    /// Whether it was alive at any time.
-    met: bool,
+    /// Whether the endpoint has been alive at any time.
+    observed: bool,
     penalty: f64,
-    /// Flow records that name the slot; it is free for another endpoint at 0.
+    /// Number of flow records that refer to the slot; at 0 it may be reused.
     records: u32,
     service: ServiceId,
 }
 
-/// The endpoints that accept new flows of one service, with cumulated shares.
+/// The endpoints that accept new flows of a service, with cumulative weights.
 #[derive(Clone, Debug, Default)]
 struct Choices {
     keys: Vec<(f64, EndpointKey)>,
     total: f64,
 }
 
-/// The endpoints that flows are placed on, with the flows that each holds.
+/// The known endpoints, with the number of flows on each.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     choices: HashMap<ServiceId, Choices>,
@@ -50,7 +50,7 @@
 }
 
 impl Pool {
-    /// Replaces the known endpoints; those left out are gone.
+    /// Replaces the live endpoints; those left out are gone.
     pub fn update(&mut self, endpoints: &[Endpoint]) {
         for slot in &mut self.slots {
             slot.endpoint = None;
@@ -60,13 +60,13 @@
                 && let Some(slot) = self.slot(key)
             {
                 slot.endpoint = Some(*endpoint);
-                slot.met = true;
+                slot.observed = true;
             }
         }
         self.refresh();
     }
 
-    /// Brings the choices up to date and frees what is no longer named.
+    /// Recomputes the choices and removes the keys of gone endpoints without flow records.
     pub fn refresh(&mut self) {
         let slots = &self.slots;
         self.keys.retain(|_, key| {
@@ -84,21 +84,21 @@
             choices.total += weight(&endpoint) * share(&endpoint);
             choices.keys.push((choices.total, key));
         }
-        self.penalise();
+        self.update_penalties();
     }
 
-    /// The key of an endpoint, known or not, so that a flow record can name it.
+    /// The key of an endpoint, added if it is unknown, so that a flow record can refer to it.
     ///
-    /// None if all keys are in use.
+    /// `None` if all keys are in use.
     pub fn intern(&mut self, id: EndpointId, service: ServiceId) -> Option<EndpointKey> {
         if let Some(key) = self.keys.get(&id) {
             return Some(*key);
         }
-        let fresh = Slot {
+        let unused = Slot {
             endpoint: None,
-            held: 0,
+            flows: 0,
             id,
-            met: false,
+            observed: false,
             penalty: 1.0,
             records: 0,
             service,
@@ -108,11 +108,11 @@
         let index = match index.and_then(|index| Some((index, self.slots.get_mut(index)?))) {
             Some((index, slot)) => {
                 self.keys.remove(&slot.id);
-                *slot = fresh;
+                *slot = unused;
                 index
             }
             None => {
-                self.slots.push(fresh);
+                self.slots.push(unused);
                 self.slots.len() - 1
             }
         };
@@ -121,20 +121,20 @@
         Some(key)
     }
 
-    /// The identity of an endpoint that is alive.
-    pub fn alive(&self, key: EndpointKey) -> Option<EndpointId> {
+    /// The identity of an endpoint if it is alive.
+    pub fn live_id(&self, key: EndpointKey) -> Option<EndpointId> {
         let slot = self.slots.get(usize::from(key.0))?;
         slot.endpoint.map(|endpoint| endpoint.id)
     }
 
-    /// Whether an endpoint was alive and is gone; one not heard of yet is not.
+    /// Whether an endpoint was alive and is gone; one that was never alive here is not.
     pub fn gone(&self, key: EndpointKey) -> bool {
         self.slots
             .get(usize::from(key.0))
-            .is_none_or(|slot| slot.met && slot.endpoint.is_none())
+            .is_none_or(|slot| slot.observed && slot.endpoint.is_none())
     }
 
-    /// Whether an endpoint may take new flows.
+    /// Whether an endpoint accepts new flows.
     pub fn accepts(&self, key: EndpointKey) -> bool {
         self.slots
             .get(usize::from(key.0))
@@ -155,32 +155,32 @@
         self.slots.get(usize::from(key.0)).map(|slot| slot.service)
     }
 
-    /// Chooses the endpoint of a new flow: of two drawn by weight, the one with the fewer flows
-    /// in relation to its weight and reported load.
+    /// Chooses the endpoint of a new flow: of two drawn at random by weight, the one with fewer
+    /// flows relative to its weight and reported load.
     pub fn place(&self, service: ServiceId, rng: &mut impl Rng) -> Option<EndpointKey> {
         let choices = self.choices.get(&service)?;
         let one = choices.draw(rng)?;
         let other = choices.draw(rng)?;
-        if self.pressure(other) < self.pressure(one) {
+        if self.score(other) < self.score(one) {
             Some(other)
         } else {
             Some(one)
         }
     }
 
-    /// Counts a record that names the endpoint; `open` if it counts for the load.
+    /// Counts a flow record that refers to the endpoint; `open` if it counts towards the load.
     pub fn hold(&mut self, key: EndpointKey, open: bool) {
         if let Some(slot) = self.slot(key) {
             slot.records += 1;
-            slot.held += u32::from(open);
+            slot.flows += u32::from(open);
         }
     }
 
-    /// Takes back what [`hold`](Self::hold) counted.
+    /// Reverses a [`hold`](Self::hold).
     pub fn release(&mut self, key: EndpointKey, open: bool) {
         if let Some(slot) = self.slot(key) {
             slot.records = slot.records.saturating_sub(1);
-            slot.held = slot.held.saturating_sub(u32::from(open));
+            slot.flows = slot.flows.saturating_sub(u32::from(open));
         }
     }
 
@@ -192,18 +192,18 @@
             .filter_map(|(_, key)| self.slots.get(usize::from(key.0))?.endpoint.as_ref())
     }
 
-    fn pressure(&self, key: EndpointKey) -> f64 {
+    fn score(&self, key: EndpointKey) -> f64 {
         match self.slots.get(usize::from(key.0)) {
             Some(slot) => {
                 let weight = slot.endpoint.as_ref().map_or(1.0, weight);
-                (f64::from(slot.held) + 1.0) / weight * slot.penalty
+                (f64::from(slot.flows) + 1.0) / weight * slot.penalty
             }
             None => f64::INFINITY,
         }
     }
 
-    /// Makes endpoints that report more load than the others look fuller.
-    fn penalise(&mut self) {
+    /// Raises the penalty of endpoints that report more load than the mean.
+    fn update_penalties(&mut self) {
         for choices in self.choices.values() {
             let count = u32::try_from(choices.keys.len()).unwrap_or(u32::MAX);
             let sum: f64 = choices
@@ -215,7 +215,7 @@
             for (_, key) in &choices.keys {
                 let excess = 1.0 + (load(&self.slots, *key) - mean).max(0.0);
                 if let Some(slot) = self.slots.get_mut(usize::from(key.0)) {
-                    slot.penalty = excess.min(LARGEST_PENALTY);
+                    slot.penalty = excess.min(MAX_PENALTY);
                 }
             }
         }
@@ -240,7 +240,7 @@
     f64::from(endpoint.weight.max(1))
 }
 
-/// The share of new flows that a weight is cut to, as a factor.
+/// The share of the weight used for new flows, as a factor.
 fn share(endpoint: &Endpoint) -> f64 {
     f64::from(endpoint.share) / f64::from(Endpoint::FULL_SHARE)
 }
--- a/crates/steering/src/record.rs
+++ b/crates/steering/src/record.rs
@@ -1,4 +1,4 @@
-//! What an entry remembers of one flow.
+//! Record of a flow.
 
 use std::time::Duration;
 
@@ -8,81 +8,81 @@
     pool::EndpointKey, //
 };
 
-/// Time without a packet after which a learnt flow is asked for again.
+/// Idle timeout of a cached flow, which is then queried again.
 const CACHED_IDLE: Duration = Duration::from_secs(120);
 
-/// Time without a packet after which a closed flow is forgotten.
+/// Idle timeout of a closing flow.
 const CLOSING_IDLE: Duration = Duration::from_secs(120);
 
-/// Time without a second packet after which a flow is forgotten.
+/// Timeout of a flow of which only the first packet was seen.
 const EMBRYONIC_IDLE: Duration = Duration::from_secs(60);
 
-/// Time without a packet after which an open flow is forgotten.
+/// Idle timeout of an established flow.
 const ESTABLISHED_IDLE: Duration = Duration::from_secs(6 * 60 * 60);
 
 /// Seconds in one unit of [`Record::seen`].
 const SEEN_SECONDS: u64 = 4;
 
-/// How far a flow has come, and whether this entry answers for it.
+/// Stage of a flow, and whether this entry owns it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Stage {
-    /// Learnt from an owner.
+    /// Not owned; learnt from another entry.
     Cached,
-    /// Owned; the end was seen.
+    /// Owned; a closing packet was seen.
     Closing,
     /// Owned; only the first packet was seen.
     Embryonic,
-    /// Owned; open.
+    /// Owned; a second packet was seen.
     Established,
 }
 
-/// What an entry remembers of one flow, in 16 bytes.
+/// Record of a flow, in 16 bytes.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Record {
     /// The flow's endpoint.
     pub endpoint: EndpointKey,
-    /// The view in which the second copy was made sure of; 0 for none.
+    /// Epoch of the view in which the second copy was last ensured; 0 for never.
     pub epoch: u8,
     /// The flow.
     pub flow: FlowId,
-    /// Tag of the entry that has the second copy; 0 for none.
-    pub holder: u16,
-    /// When its last packet was seen, in units of 4 seconds; wraps around.
+    /// Tag of the entry that holds the second copy; 0 for none.
+    pub replica: u16,
+    /// Time of its last packet in units of 4 seconds; wraps around.
     pub seen: u16,
-    /// How far it has come.
+    /// Its stage.
     pub stage: Stage,
 }
 
 impl Record {
-    /// Creates a record whose last packet is seen now.
+    /// Creates a record with a packet seen at `now`.
     pub fn new(now: Duration, flow: FlowId, endpoint: EndpointKey, stage: Stage) -> Self {
         Self {
             endpoint,
             epoch: 0,
             flow,
-            holder: 0,
-            seen: units(now),
+            replica: 0,
+            seen: seen_units(now),
             stage,
         }
     }
 
-    /// Notes a packet.
+    /// Records the time of a packet.
     pub fn touch(&mut self, now: Duration) {
-        self.seen = units(now);
+        self.seen = seen_units(now);
     }
 
-    /// Whether the entry answers for the flow.
+    /// Whether this entry owns the flow.
     pub fn owned(&self) -> bool {
         self.stage != Stage::Cached
     }
 
-    /// Whether the flow counts for the load of its endpoint at this entry.
+    /// Whether the flow counts towards its endpoint's load at this entry.
     pub fn open(&self) -> bool {
         matches!(self.stage, Stage::Embryonic | Stage::Established)
     }
 
-    /// How far the flow has come with one more packet.
-    pub const fn advance(&self, phase: Phase) -> Stage {
+    /// The flow's stage after one more packet.
+    pub const fn next_stage(&self, phase: Phase) -> Stage {
         match (self.stage, phase) {
             (Stage::Cached, _) => Stage::Cached,
             (_, Phase::Closes) => Stage::Closing,
@@ -92,9 +92,9 @@
         }
     }
 
-    /// Whether the flow has been silent for too long.
+    /// Whether the flow's idle timeout has passed.
     pub fn expired(&self, now: Duration) -> bool {
-        let idle = u64::from(units(now).wrapping_sub(self.seen)) * SEEN_SECONDS;
+        let idle = u64::from(seen_units(now).wrapping_sub(self.seen)) * SEEN_SECONDS;
         let limit = match self.stage {
             Stage::Cached => CACHED_IDLE,
             Stage::Closing => CLOSING_IDLE,
@@ -105,7 +105,7 @@
     }
 }
 
-fn units(now: Duration) -> u16 {
+fn seen_units(now: Duration) -> u16 {
     let [a, b, ..] = (now.as_secs() / SEEN_SECONDS).to_le_bytes();
     u16::from_le_bytes([a, b])
 }
--- a/crates/steering/src/refusal.rs
+++ b/crates/steering/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The answer to a packet whose flow has no endpoint.
+//! Replies to packets whose flow has no endpoint.
 
 use std::net::IpAddr;
 
@@ -26,24 +26,24 @@
     error::Error,
 };
 
-/// Time to live of an answer, in hops.
-const HOPS: u8 = 64;
+/// Time to live of a reply, in hops.
+const TTL_HOPS: u8 = 64;
 
-/// Bytes of the refused packet that an answer over ICMP quotes at most.
+/// Maximum number of bytes of the refused packet quoted in an ICMP message.
 const QUOTED_BYTES: usize = 512;
 
-/// Builds the answer to the sender of a packet, as GRE in UDP carries it: a TCP reset (RFC 9293,
-/// section 3.10.7.1), or an ICMP message that the port is unreachable. A reset is not answered.
+/// Builds the reply to a refused packet, including the GRE header: a TCP reset (RFC 9293, section
+/// 3.10.7.1), or an ICMP port unreachable message for UDP. A reset gets no reply.
 ///
 /// # Errors
 ///
 /// [`Error::Truncated`] if the packet ends before its headers do, [`Error::Protocol`] if no
-/// answer can be built.
+/// reply can be built.
 pub fn refusal(packet: &[u8]) -> Result<Option<Vec<u8>>, Error> {
     let truncated = || Error::Truncated(packet.len());
     let ip = IpSlice::from_slice(packet).map_err(|_| truncated())?;
-    let header = reply(&ip)?;
-    let mut answer = match ip.source_addr() {
+    let header = reply_header(&ip)?;
+    let mut reply = match ip.source_addr() {
         IpAddr::V4(_) => GRE_IPV4.to_vec(),
         IpAddr::V6(_) => GRE_IPV6.to_vec(),
     };
@@ -54,20 +54,20 @@
             if tcp.rst() {
                 return Ok(None);
             }
-            reset(header, &tcp, &mut answer)?;
+            reset(header, &tcp, &mut reply)?;
         }
-        IpNumber::UDP => unreachable_port(header, quoted, &mut answer)?,
+        IpNumber::UDP => unreachable_port(header, quoted, &mut reply)?,
         _ => return Err(Error::Protocol),
     }
-    Ok(Some(answer))
+    Ok(Some(reply))
 }
 
-/// The IP header of an answer.
-fn reply(ip: &IpSlice<'_>) -> Result<PacketBuilderStep<IpHeaders>, Error> {
+/// The IP header of a reply.
+fn reply_header(ip: &IpSlice<'_>) -> Result<PacketBuilderStep<IpHeaders>, Error> {
     let headers = match (ip.source_addr(), ip.destination_addr()) {
         (IpAddr::V4(source), IpAddr::V4(destination)) => {
             let number = IpNumber::TCP;
-            Ipv4Header::new(0, HOPS, number, destination.octets(), source.octets())
+            Ipv4Header::new(0, TTL_HOPS, number, destination.octets(), source.octets())
                 .map(|header| IpHeaders::Ipv4(header, Default::default()))
                 .map_err(|_| Error::Protocol)?
         }
@@ -75,7 +75,7 @@
             let header = Ipv6Header {
                 destination: source.octets(),
                 flow_label: Ipv6FlowLabel::ZERO,
-                hop_limit: HOPS,
+                hop_limit: TTL_HOPS,
                 next_header: IpNumber::TCP,
                 payload_length: 0,
                 source: destination.octets(),
@@ -91,7 +91,7 @@
 fn reset(
     header: PacketBuilderStep<IpHeaders>,
     tcp: &TcpSlice<'_>,
-    answer: &mut Vec<u8>,
+    reply: &mut Vec<u8>,
 ) -> Result<(), Error> {
     let (from, to) = (tcp.destination_port(), tcp.source_port());
     let step = if tcp.ack() {
@@ -105,24 +105,24 @@
             .wrapping_add(flags);
         header.tcp(from, to, 0, 0).rst().ack(next)
     };
-    step.write(answer, &[]).map_err(|_| Error::Protocol)
+    step.write(reply, &[]).map_err(|_| Error::Protocol)
 }
 
 fn unreachable_port(
     header: PacketBuilderStep<IpHeaders>,
     quoted: &[u8],
-    answer: &mut Vec<u8>,
+    reply: &mut Vec<u8>,
 ) -> Result<(), Error> {
-    let written = if answer.starts_with(&GRE_IPV4) {
+    let written = if reply.starts_with(&GRE_IPV4) {
         let message = icmpv4::DestUnreachableHeader::Port;
         header
             .icmpv4(Icmpv4Type::DestinationUnreachable(message))
-            .write(answer, quoted)
+            .write(reply, quoted)
     } else {
         let message = icmpv6::DestUnreachableCode::Port;
         header
             .icmpv6(Icmpv6Type::DestinationUnreachable(message))
-            .write(answer, quoted)
+            .write(reply, quoted)
     };
     written.map_err(|_| Error::Protocol)
 }
--- a/crates/steering/src/replication.rs
+++ b/crates/steering/src/replication.rs
@@ -1,43 +1,45 @@
-//! The paced copying of flows that no packet has copied.
+//! Rate-limited background replication of flows.
 
 use std::time::Duration;
 
 use crate::{
     flows::{
         Flows,
-        missing, //
+        missing_copy, //
     },
     identity::InstanceId,
     steer::Copied,
     view::View,
 };
 
-/// Bytes that one copied flow takes on the wire, headers shared.
+/// Bytes of one flow copy on the wire, with the headers amortised.
 const COPY_BYTES: u32 = 9;
 
-/// Bytes a second that copies may take.
-const RATE: u32 = 1800;
+/// Default limit of the traffic for copies, in bytes per second.
+const BYTES_PER_SECOND: u32 = 1800;
 
-/// Factor by which a planned stop copies faster.
+/// Factor of that limit during a planned stop.
 const LEAVE_FACTOR: u32 = 16;
 
-/// Time after a change of the view in which packets alone copy flows.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Time after a change of the view in which flows are copied only by their own packets.
+const PACKET_GRACE: Duration = Duration::from_secs(3);
 
-/// Places of the table that are looked at in a millisecond.
-const SCAN_RATE: u128 = 200;
+/// Number of table positions scanned per millisecond.
+const SCAN_PER_MS: u128 = 200;
 
-/// Longest time that one run makes up for.
-const LONGEST_STEP: Duration = Duration::from_secs(1);
+/// Maximum elapsed time that one run accounts for.
+const MAX_STEP: Duration = Duration::from_secs(1);
 
-/// The paced copying of flows that no packet has copied, and the expiry of silent ones.
+/// Rate-limited replication of flows without a second copy, and expiry of idle flows.
+///
+/// A flow's own packets copy it as well; this covers the flows without packets.
 #[derive(Clone, Debug)]
 pub struct Replication {
-    begin: Duration,
-    /// Bytes that may be sent.
+    began: Duration,
+    /// Number of bytes that may be sent now.
     credit: u32,
     cursor: u32,
-    /// Whether the pass under way has left no flow out.
+    /// Whether the current pass has skipped no flow.
     clean: bool,
     complete: bool,
     last: Duration,
@@ -45,38 +47,38 @@
 }
 
 impl Replication {
-    /// Creates the work of an entry that has just started.
+    /// Creates the state of an entry that has just started.
     pub const fn new(now: Duration) -> Self {
         Self {
-            begin: now,
+            began: now,
             clean: true,
             complete: false,
             credit: 0,
             cursor: 0,
             last: now,
-            rate: RATE,
+            rate: BYTES_PER_SECOND,
         }
     }
 
-    /// Sets the bytes a second that copies may take.
+    /// Sets the limit of the traffic for copies, in bytes per second.
     pub const fn set_rate(&mut self, rate: u32) {
         self.rate = rate;
     }
 
-    /// Begins anew after a change of the view.
+    /// Restarts the scan after a change of the view.
     pub const fn restart(&mut self, now: Duration) {
-        self.begin = now;
+        self.began = now;
         self.clean = true;
         self.complete = false;
         self.cursor = 0;
     }
 
-    /// Whether all flows have been looked at since the last change, and none was left out.
+    /// Whether a pass over all flows has finished since the last change without skipping one.
     pub const fn complete(&self) -> bool {
         self.complete
     }
 
-    /// Does the share of the work that is due.
+    /// Scans the part of the table that is due.
     pub fn run(
         &mut self,
         now: Duration,
@@ -84,21 +86,21 @@
         flows: &mut Flows,
         copies: &mut Vec<(InstanceId, Copied)>,
     ) {
-        let step = now.saturating_sub(self.last).min(LONGEST_STEP);
+        let step = now.saturating_sub(self.last).min(MAX_STEP);
         self.last = now;
-        self.earn(step, view.leaving());
-        let due = step.as_millis().saturating_mul(SCAN_RATE);
+        self.add_credit(step, view.leaving());
+        let due = step.as_millis().saturating_mul(SCAN_PER_MS);
         let count = u32::try_from(due).unwrap_or(u32::MAX);
-        for _ in 0..count.min(flows.table.places()) {
-            self.look(now, view, flows, copies);
-            self.advance(flows.table.places());
+        for _ in 0..count.min(flows.table.positions()) {
+            self.scan(now, view, flows, copies);
+            self.advance(flows.table.positions());
         }
-        if flows.table.places() == 0 {
+        if flows.table.positions() == 0 {
             self.advance(0);
         }
     }
 
-    fn earn(&mut self, step: Duration, leaving: bool) {
+    fn add_credit(&mut self, step: Duration, leaving: bool) {
         let rate = if leaving {
             self.rate.saturating_mul(LEAVE_FACTOR)
         } else {
@@ -111,16 +113,16 @@
         self.credit = credit.min(rate);
     }
 
-    fn advance(&mut self, places: u32) {
+    fn advance(&mut self, positions: u32) {
         self.cursor += 1;
-        if self.cursor >= places {
+        if self.cursor >= positions {
             self.cursor = 0;
             self.complete = self.clean;
             self.clean = true;
         }
     }
 
-    fn look(
+    fn scan(
         &mut self,
         now: Duration,
         view: &View,
@@ -131,14 +133,14 @@
             return;
         };
         if record.expired(now) {
-            flows.forget(record.flow);
+            flows.remove(record.flow);
             return;
         }
         if !record.owned() || record.epoch == view.epoch() {
             return;
         }
-        let early = now < self.begin + PATIENCE && !view.leaving();
-        match missing(view, &record) {
+        let early = now < self.began + PACKET_GRACE && !view.leaving();
+        match missing_copy(view, &record) {
             Some(_) if early || self.credit < COPY_BYTES => self.clean = false,
             Some(_) => {
                 self.credit -= COPY_BYTES;
@@ -147,10 +149,10 @@
                     flow: record.flow,
                     service: flows.pool.service(record.endpoint).unwrap_or_default(),
                 };
-                copies.extend(flows.owe(view, record).map(|to| (to, copy)));
+                copies.extend(flows.replicate(view, record).map(|to| (to, copy)));
             }
             None => {
-                flows.owe(view, record);
+                flows.replicate(view, record);
             }
         }
     }
--- a/crates/steering/src/stateless.rs
+++ b/crates/steering/src/stateless.rs
@@ -1,4 +1,4 @@
-//! Steering by weighted rendezvous hashing alone: the baseline of the benchmark.
+//! Stateless steering by weighted rendezvous hashing: the baseline of the benchmark.
 
 use std::time::Duration;
 
@@ -24,17 +24,17 @@
     },
 };
 
-/// Bits of a hash that a floating-point number holds exactly.
+/// Bits of the hash; a 64-bit float represents them exactly.
 const HASH_BITS: u32 = 32;
 
-/// Steering by weighted rendezvous hashing alone (Schindelhauer and Schomaker, 2005).
+/// Stateless steering by weighted rendezvous hashing (Schindelhauer and Schomaker, 2005).
 #[derive(Clone, Debug, Default)]
-pub struct Stateless {
+pub struct StatelessSteering {
     pool: Pool,
 }
 
-impl Stateless {
-    /// Creates the machine of an entry.
+impl StatelessSteering {
+    /// Creates the state machine of an entry.
     pub fn new() -> Self {
         Self::default()
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// The endpoint of the highest weighted hash of a key.
+/// The endpoint with the highest weighted hash for a key.
 pub fn rendezvous(pool: &Pool, arrival: &Arrival, key: FlowId) -> Option<EndpointId> {
     pool.accepting(arrival.service)
         .map(|endpoint| (score(key, endpoint), endpoint.id))
@@ -53,12 +53,12 @@
 }
 
 fn score(key: FlowId, endpoint: &Endpoint) -> f64 {
-    let hash = crate::identity::low(key.spread(endpoint.id.0));
+    let hash = crate::identity::low_half(key.salted_hash(endpoint.id.0));
     let unit = (f64::from(hash) + 0.5) / 2.0_f64.powi(HASH_BITS.cast_signed());
     -weight(endpoint) / unit.ln()
 }
 
-impl Steer for Stateless {
+impl Steer for StatelessSteering {
     type Header = ();
 
     fn copied(&mut self, _: Duration, _: InstanceId, _: &[Copied]) {}
--- a/crates/steering/src/steer.rs
+++ b/crates/steering/src/steer.rs
@@ -1,4 +1,4 @@
-//! What all ways of steering have in common.
+//! Interface of the steering methods.
 
 use std::{
     fmt::Debug,
@@ -18,7 +18,7 @@
     peer::Peer,
 };
 
-/// A flow's endpoint, told apart from its packets.
+/// Copy of a flow's record, as sent between entries apart from the flow's packets.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Copied {
     /// The flow's endpoint.
@@ -29,20 +29,20 @@
     pub service: ServiceId,
 }
 
-/// A way of steering: the decisions of one entry.
+/// Steering method: the state machine of one entry.
 ///
 /// Times count from the start of the process. No call that handles a packet allocates.
 pub trait Steer {
-    /// What travels with a packet between entries.
+    /// Header that a packet carries between entries.
     type Header: Copy + Debug;
 
-    /// Takes in flows that another entry told of.
+    /// Handles flow copies from another entry.
     fn copied(&mut self, now: Duration, from: InstanceId, copies: &[Copied]);
 
-    /// Replaces the endpoints that are alive.
+    /// Replaces the live endpoints.
     fn endpoints(&mut self, now: Duration, endpoints: &[Endpoint]);
 
-    /// Decides on a packet that another entry handed over.
+    /// Decides on a packet that another entry has handed over.
     fn handed(
         &mut self,
         now: Duration,
@@ -54,7 +54,7 @@
     /// Begins a planned stop.
     fn leave(&mut self, now: Duration);
 
-    /// Whether a planned stop has given all flows away.
+    /// Whether a planned stop has handed off all flows.
     fn left(&self) -> bool;
 
     /// Decides on a packet from the fabric.
@@ -63,6 +63,6 @@
     /// Replaces the other entries.
     fn peers(&mut self, now: Duration, peers: &[Peer]);
 
-    /// Does a share of the background work and adds flows to tell other entries of.
+    /// Does a part of the background work; appends flow copies to send to other entries.
     fn tick(&mut self, now: Duration, copies: &mut Vec<(InstanceId, Copied)>);
 }
--- a/crates/steering/src/table.rs
+++ b/crates/steering/src/table.rs
@@ -1,4 +1,4 @@
-//! The flows that an entry remembers, within fixed bounds.
+//! Flow table of fixed size.
 
 use std::collections::VecDeque;
 
@@ -12,25 +12,26 @@
     },
 };
 
-/// Share of the table for flows of which only the first packet was seen.
-const EMBRYONIC_SHARE: usize = 8;
+/// One in this many records is for flows of which only the first packet was seen.
+const EMBRYONIC_DIVISOR: usize = 8;
 
-/// Share of the table for open flows that this entry owns, and the same again for learnt ones.
-const AREA_SHARE: usize = 2;
+/// One in this many of the other records is for flows that this entry owns, and the same number
+/// for cached ones.
+const AREA_DIVISOR: usize = 2;
 
-/// The table has no room for a record of that stage.
+/// The table's area for the stage of a record is full.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Full;
 
-/// The flows that an entry remembers, within fixed bounds for each kind.
+/// Flow table with a fixed limit for each area: embryonic, owned and cached flows.
 ///
-/// A flood of first packets pushes out only flows of which no second packet was seen, the oldest
-/// first. All memory is taken when the table is created.
+/// A flood of first packets evicts only embryonic flows, of which no second packet was seen, the
+/// oldest first. All memory is allocated when the table is created.
 #[derive(Clone, Debug)]
 pub struct Table {
     cached: usize,
-    /// Embryonic flows, the oldest first; some have left the stage since.
-    embryos: VecDeque<FlowId>,
+    /// Embryonic flows, oldest first; may include flows that have since changed stage.
+    embryonic: VecDeque<FlowId>,
     free: Vec<u32>,
     index: HashTable<u32>,
     limit: usize,
@@ -41,10 +42,10 @@
 impl Table {
     /// Creates a table for `limit` flows.
     pub fn new(limit: usize) -> Self {
-        let limit = limit.max(EMBRYONIC_SHARE);
+        let limit = limit.max(EMBRYONIC_DIVISOR);
         Self {
             cached: 0,
-            embryos: VecDeque::with_capacity(limit / EMBRYONIC_SHARE),
+            embryonic: VecDeque::with_capacity(limit / EMBRYONIC_DIVISOR),
             free: Vec::with_capacity(limit),
             index: HashTable::with_capacity(limit),
             limit,
@@ -63,118 +64,119 @@
         self.index.is_empty()
     }
 
-    /// Bytes of memory that the table has taken.
+    /// Memory allocated by the table, in bytes.
     pub fn bytes(&self) -> usize {
-        let places = size_of::<Option<Record>>() * self.records.capacity();
-        let queues =
-            size_of::<FlowId>() * self.embryos.capacity() + size_of::<u32>() * self.free.capacity();
-        self.index.allocation_size() + places + queues
+        let records = size_of::<Option<Record>>() * self.records.capacity();
+        let queues = size_of::<FlowId>() * self.embryonic.capacity()
+            + size_of::<u32>() * self.free.capacity();
+        self.index.allocation_size() + records + queues
     }
 
     /// The record of a flow.
     pub fn get(&self, flow: FlowId) -> Option<Record> {
-        self.at(self.place(flow)?)
+        self.at(self.position(flow)?)
     }
 
-    /// The record at a place; places run from 0 to [`places`](Self::places).
-    pub fn at(&self, place: u32) -> Option<Record> {
-        self.records.get(usize::try_from(place).ok()?).copied()?
+    /// The record at a position below [`positions`](Self::positions).
+    pub fn at(&self, position: u32) -> Option<Record> {
+        self.records.get(usize::try_from(position).ok()?).copied()?
     }
 
-    /// Number of places, taken or free.
-    pub fn places(&self) -> u32 {
+    /// Number of positions, in use or free.
+    pub fn positions(&self) -> u32 {
         u32::try_from(self.records.len()).unwrap_or(u32::MAX)
     }
 
-    /// Inserts or replaces a record; returns those that it pushed out, the replaced one first.
+    /// Inserts or replaces a record; returns the replaced record and the evicted one.
     ///
     /// # Errors
     ///
-    /// [`Full`] if there is no room; nothing is changed.
+    /// [`Full`] if there is no room; the table is unchanged.
     pub fn put(&mut self, record: Record) -> Result<[Option<Record>; 2], Full> {
         let old = self.get(record.flow);
-        if old.is_none_or(|old| class(old.stage) != class(record.stage)) && !self.room(record.stage)
+        if old.is_none_or(|old| area(old.stage) != area(record.stage))
+            && !self.has_room(record.stage)
         {
             return Err(Full);
         }
-        let fresh =
+        let newly_embryonic =
             record.stage == Stage::Embryonic && old.is_none_or(|old| old.stage != Stage::Embryonic);
-        let evicted = if fresh { self.evict() } else { None };
+        let evicted = if newly_embryonic { self.evict() } else { None };
         self.uncount(old);
         self.count(record.stage);
-        if fresh {
-            self.embryos.push_back(record.flow);
+        if newly_embryonic {
+            self.embryonic.push_back(record.flow);
         }
-        match self.place(record.flow) {
-            Some(place) => self.write(place, Some(record)),
+        match self.position(record.flow) {
+            Some(position) => self.write(position, Some(record)),
             None => self.insert(record),
         }
         Ok([old, evicted])
     }
 
-    /// Replaces the record of a flow by another one of the same stage.
+    /// Replaces the record of a flow with one of the same stage.
     pub fn rewrite(&mut self, record: Record) {
-        if let Some(place) = self.place(record.flow) {
-            self.write(place, Some(record));
+        if let Some(position) = self.position(record.flow) {
+            self.write(position, Some(record));
         }
     }
 
     /// Removes a flow.
     pub fn remove(&mut self, flow: FlowId) -> Option<Record> {
         let records = &self.records;
-        let same = |place: &u32| named(records, *place) == Some(flow);
+        let same = |position: &u32| flow_at(records, *position) == Some(flow);
         let entry = self.index.find_entry(flow.0, same).ok()?;
-        let (place, _) = entry.remove();
-        let old = self.at(place);
+        let (position, _) = entry.remove();
+        let old = self.at(position);
         self.uncount(old);
-        self.write(place, None);
-        self.free.push(place);
+        self.write(position, None);
+        self.free.push(position);
         old
     }
 
     fn insert(&mut self, record: Record) {
-        let place = match self.free.pop() {
-            Some(place) => {
-                self.write(place, Some(record));
-                place
+        let position = match self.free.pop() {
+            Some(position) => {
+                self.write(position, Some(record));
+                position
             }
             None => {
                 self.records.push(Some(record));
-                self.places() - 1
+                self.positions() - 1
             }
         };
         let records = &self.records;
-        let hash = |place: &u32| named(records, *place).unwrap_or_default().0;
-        self.index.insert_unique(record.flow.0, place, hash);
+        let hash = |position: &u32| flow_at(records, *position).unwrap_or_default().0;
+        self.index.insert_unique(record.flow.0, position, hash);
     }
 
-    fn place(&self, flow: FlowId) -> Option<u32> {
-        let same = |place: &u32| named(&self.records, *place) == Some(flow);
+    fn position(&self, flow: FlowId) -> Option<u32> {
+        let same = |position: &u32| flow_at(&self.records, *position) == Some(flow);
         self.index.find(flow.0, same).copied()
     }
 
-    fn write(&mut self, place: u32, record: Option<Record>) {
-        let place = usize::try_from(place).ok();
-        if let Some(slot) = place.and_then(|place| self.records.get_mut(place)) {
+    fn write(&mut self, position: u32, record: Option<Record>) {
+        let position = usize::try_from(position).ok();
+        if let Some(slot) = position.and_then(|position| self.records.get_mut(position)) {
             *slot = record;
         }
     }
 
-    fn room(&self, stage: Stage) -> bool {
-        let area = (self.limit - self.limit / EMBRYONIC_SHARE) / AREA_SHARE;
+    fn has_room(&self, stage: Stage) -> bool {
+        let area_limit = (self.limit - self.limit / EMBRYONIC_DIVISOR) / AREA_DIVISOR;
         match stage {
-            Stage::Cached => self.cached < area,
-            // A first packet is refused when its flow would find no room later.
-            Stage::Closing | Stage::Embryonic | Stage::Established => self.owned < area,
+            Stage::Cached => self.cached < area_limit,
+            // A first packet is refused if its flow could not be kept once established.
+            Stage::Closing | Stage::Embryonic | Stage::Established => self.owned < area_limit,
         }
     }
 
-    /// Makes room for an embryonic flow; returns the one that had to go.
+    /// Makes room for an embryonic flow; returns the evicted record.
     fn evict(&mut self) -> Option<Record> {
-        if self.embryos.len() < self.limit / EMBRYONIC_SHARE {
+        if self.embryonic.len() < self.limit / EMBRYONIC_DIVISOR {
             return None;
         }
-        let oldest = self.embryos.pop_front()?;
+        let oldest = self.embryonic.pop_front()?;
         match self.get(oldest) {
             Some(record) if record.stage == Stage::Embryonic => self.remove(oldest),
             Some(_) | None => None,
@@ -198,8 +200,8 @@
     }
 }
 
-/// The area of the table that a stage is counted in.
-const fn class(stage: Stage) -> u8 {
+/// Area of the table that a stage counts towards.
+const fn area(stage: Stage) -> u8 {
     match stage {
         Stage::Cached => 0,
         Stage::Closing | Stage::Established => 1,
@@ -207,7 +209,7 @@
     }
 }
 
-fn named(records: &[Option<Record>], place: u32) -> Option<FlowId> {
-    let record = records.get(usize::try_from(place).ok()?)?.as_ref()?;
+fn flow_at(records: &[Option<Record>], position: u32) -> Option<FlowId> {
+    let record = records.get(usize::try_from(position).ok()?)?.as_ref()?;
     Some(record.flow)
 }
--- a/crates/steering/src/view.rs
+++ b/crates/steering/src/view.rs
@@ -1,4 +1,4 @@
-//! Which entries own which flows, as one entry sees it.
+//! The entries known to one of them, and the flows that each owns.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
     peer::Peer, //
 };
 
-/// Time after a change of the view, a start or a pause in which nothing is concluded from what
-/// this entry does not know.
-const SETTLE: Duration = Duration::from_secs(10);
+/// Time after a change of the view, a start or a pause during which a flow or endpoint unknown to
+/// this entry is not taken to be gone.
+const SETTLE_TIME: Duration = Duration::from_secs(10);
 
-/// The same after an entry was lost that had not left: it may be alive beyond a partition.
-const LOSS_SETTLE: Duration = Duration::from_secs(60);
+/// The same after an entry disappeared without leaving; it may be alive beyond a partition.
+const LOSS_SETTLE_TIME: Duration = Duration::from_secs(60);
 
-/// Time after which an entry that has heard of no other takes itself for the only one.
-const JOIN: Duration = Duration::from_secs(3);
+/// Time after the start at which an entry that knows no other assumes that it is the only one.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The entries as one of them sees them, itself included.
+/// The entries known to one of them, including itself.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// Grows with each change that moves flows; wraps around.
+    /// Increases with each change that moves flows; wraps around.
     epoch: u8,
-    joined: Duration,
+    joined_at: Duration,
     own: Peer,
     peers: Vec<Peer>,
-    settled: Duration,
+    settled_at: Duration,
 }
 
 impl View {
@@ -37,14 +37,14 @@
     pub fn new(now: Duration, own: Peer) -> Self {
         Self {
             epoch: 1,
-            joined: now + JOIN,
+            joined_at: now + JOIN_TIMEOUT,
             own,
             peers: Vec::new(),
-            settled: now + SETTLE,
+            settled_at: now + SETTLE_TIME,
         }
     }
 
-    /// Replaces the other entries; whether flows may have moved.
+    /// Replaces the other entries; returns whether flows may have moved.
     pub fn update(&mut self, now: Duration, peers: &[Peer]) -> bool {
         let moved = peers.len() != self.peers.len()
             || peers.iter().zip(&self.peers).any(|(new, old)| {
@@ -54,54 +54,54 @@
             .peers
             .iter()
             .any(|old| !old.leaving && peers.iter().all(|new| new.id != old.id));
-        let reach = |peers: &[Peer]| peers.iter().filter(|peer| peer.reachable).count();
-        if reach(peers) != reach(&self.peers) {
+        let reachable_count = |peers: &[Peer]| peers.iter().filter(|peer| peer.reachable).count();
+        if reachable_count(peers) != reachable_count(&self.peers) {
             self.unsettle(now);
         }
         self.peers.clear();
         self.peers.extend_from_slice(peers);
         if moved {
-            self.joined = self.joined.min(now);
-            self.touch(now);
+            self.joined_at = self.joined_at.min(now);
+            self.advance_epoch(now);
         }
         if lost {
-            self.settled = now + LOSS_SETTLE;
+            self.settled_at = now + LOSS_SETTLE_TIME;
         }
         moved
     }
 
-    /// Begins to give all flows away.
+    /// Marks this entry as leaving, which moves all of its flows to others.
     pub fn leave(&mut self, now: Duration) {
         self.own.leaving = true;
-        self.touch(now);
+        self.advance_epoch(now);
     }
 
-    /// Concludes nothing from what is unknown for a while, as after a pause of the process.
+    /// Treats the view as unsettled for [`SETTLE_TIME`], as after a pause of the process.
     pub fn unsettle(&mut self, now: Duration) {
-        self.settled = self.settled.max(now + SETTLE);
+        self.settled_at = self.settled_at.max(now + SETTLE_TIME);
     }
 
-    /// Whether the entry knows the others, or has waited for them for long enough.
+    /// Whether the entry knows others or has waited for [`JOIN_TIMEOUT`].
     pub fn joined(&self, now: Duration) -> bool {
-        now >= self.joined
+        now >= self.joined_at
     }
 
-    /// Whether the view has not changed for a while.
+    /// Whether the view has been unchanged for its settle time.
     pub fn settled(&self, now: Duration) -> bool {
-        now >= self.settled
+        now >= self.settled_at
     }
 
-    /// Number of the view; another one after each change that moves flows.
+    /// Number of the view, which changes when flows move.
     pub const fn epoch(&self) -> u8 {
         self.epoch
     }
 
-    /// The entry itself.
+    /// This entry.
     pub const fn own(&self) -> InstanceId {
         self.own.id
     }
 
-    /// Whether the entry itself is leaving.
+    /// Whether this entry is leaving.
     pub const fn leaving(&self) -> bool {
         self.own.leaving
     }
@@ -111,18 +111,19 @@
         self.peers.iter().find(|peer| peer.id == id)
     }
 
-    /// Whether packets reach a peer from here.
+    /// Whether a peer is reachable from this entry.
     pub fn reachable(&self, id: InstanceId) -> bool {
         self.peer(id).is_some_and(|peer| peer.reachable)
     }
 
-    /// The entry that decides on new flows of that identity: the best one of the best data centre.
-    pub fn first(&self, flow: FlowId) -> InstanceId {
+    /// The first owner of a flow, which places it: the highest-ranked entry of the highest-ranked
+    /// data centre.
+    pub fn first_owner(&self, flow: FlowId) -> InstanceId {
         self.best(flow, |_| true)
             .map_or(self.own.id, |peer| peer.id)
     }
 
-    /// The two owners of a flow, in another data centre each where there is one.
+    /// The two owners of a flow, in different data centres where possible.
     pub fn owners(&self, flow: FlowId) -> [Option<&Peer>; 2] {
         let first = self.best(flow, |_| true);
         let second = first.and_then(|first| {
@@ -140,10 +141,8 @@
             .any(|owner| owner.id == self.own.id)
     }
 
-    /// The other owner of a flow that can be reached from here.
-    ///
-    /// A third entry takes the part of an owner that can't be reached.
-    pub fn other(&self, flow: FlowId) -> Option<&Peer> {
+    /// The other owner of a flow; if it is unreachable, the highest-ranked reachable entry.
+    pub fn other_owner(&self, flow: FlowId) -> Option<&Peer> {
         let owners = self.owners(flow).into_iter().flatten();
         let mut others = owners.filter(|owner| owner.id != self.own.id);
         others
@@ -151,30 +150,36 @@
             .or_else(|| self.best(flow, |peer| peer.reachable && peer.id != self.own.id))
     }
 
-    /// The best entry that has not been asked about a flow; the entry itself counts as asked.
-    pub fn next(&self, flow: FlowId, visited: &Visited) -> Option<InstanceId> {
-        let open =
+    /// The highest-ranked reachable entry that has not been queried about a flow, owners first;
+    /// this entry counts as queried.
+    pub fn next_candidate(&self, flow: FlowId, visited: &Visited) -> Option<InstanceId> {
+        let candidate =
             |peer: &Peer| peer.reachable && peer.id != self.own.id && !visited.contains(peer.id);
         let owners = self.owners(flow).into_iter().flatten();
-        let mut owners = owners.filter(|owner| open(owner));
-        let best = owners.next().or_else(|| self.best(flow, open));
-        // Those that leave own nothing any more, but still know their flows.
-        let leaving = |peer: &&Peer| peer.leaving && open(peer);
+        let mut owners = owners.filter(|owner| candidate(owner));
+        let best = owners.next().or_else(|| self.best(flow, candidate));
+        // Leaving entries own no flows any more but still know theirs.
+        let leaving = |peer: &&Peer| peer.leaving && candidate(peer);
         best.or_else(|| self.peers.iter().find(leaving))
             .map(|peer| peer.id)
     }
 
-    fn best(&self, flow: FlowId, fits: impl Fn(&Peer) -> bool) -> Option<&Peer> {
+    fn best(&self, flow: FlowId, predicate: impl Fn(&Peer) -> bool) -> Option<&Peer> {
         self.peers
             .iter()
             .chain([&self.own])
-            .filter(|peer| !peer.leaving && fits(peer))
-            .max_by_key(|peer| (flow.spread(peer.centre), flow.spread(u64::from(peer.id.0))))
+            .filter(|peer| !peer.leaving && predicate(peer))
+            .max_by_key(|peer| {
+                (
+                    flow.salted_hash(peer.centre),
+                    flow.salted_hash(u64::from(peer.id.0)),
+                )
+            })
     }
 
-    fn touch(&mut self, now: Duration) {
+    fn advance_epoch(&mut self, now: Duration) {
         // Epoch 0 marks records that have never been copied.
         self.epoch = self.epoch.checked_add(1).unwrap_or(1);
-        self.settled = self.settled.max(now + SETTLE);
+        self.settled_at = self.settled_at.max(now + SETTLE_TIME);
     }
 }
--- a/crates/steering/tests/bounds.rs
+++ b/crates/steering/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds, refusals and reuse of addresses on the machine of one entry.
+//! Limits, refusals, placement and reuse of addresses, on the state machine of one entry.
 
 use std::time::Duration;
 
@@ -142,7 +142,7 @@
             machine.packet(NOW, &arrival(*flow, Phase::Opens)) == Action::Forward(busy.id)
         })
         .count();
-    // Its flows count for half as many again: 3,000 part as 2 to 3.
+    // The loaded endpoint's penalty is 1.5, so 3,000 flows divide as 2 to 3.
     assert!((1_150..1_250).contains(&chosen), "{chosen}");
 }
 
--- a/crates/steering/tests/changes.rs
+++ b/crates/steering/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Established flows through planned changes and failures, on driven machines.
+//! Established flows during planned changes and failures, in a simulation.
 
 mod driver;
 
@@ -12,7 +12,7 @@
 
 const SEED: u64 = 7;
 
-fn machine(now: Duration, own: mimosausher_steering::Peer, seed: u64) -> Owners {
+fn new_machine(now: Duration, own: mimosausher_steering::Peer, seed: u64) -> Owners {
     Owners::new(now, own, 60_000, seed)
 }
 
@@ -20,13 +20,14 @@
     Duration::from_secs(count)
 }
 
-/// Four data centres with two entries each that hear of changes at different times.
+/// A simulation with six endpoints and entries in four data centres that learn of changes at
+/// different times.
 fn cluster(entries: usize) -> Driver<Owners> {
-    clustered(entries, 25)
+    cluster_with_udp(entries, 25)
 }
 
-fn clustered(entries: usize, udp: u32) -> Driver<Owners> {
-    let mut driver = Driver::new(SEED, machine);
+fn cluster_with_udp(entries: usize, udp: u32) -> Driver<Owners> {
+    let mut driver = Driver::new(SEED, new_machine);
     driver.traffic.udp = udp;
     let service = ServiceId::new("booking-updates");
     for _ in 0..6 {
@@ -45,7 +46,7 @@
 #[test]
 fn steady_no_change() {
     let mut driver = cluster(8);
-    driver.traffic.reset();
+    driver.traffic.reset_imbalance();
     driver.run(seconds(20));
     let [mean, _] = driver.traffic.imbalance;
     assert_eq!((driver.counts.broken, driver.counts.refused), (0, 0));
@@ -55,8 +56,8 @@
 #[test]
 fn drain_uneven_updates() {
     let mut driver = cluster(8);
-    let drained = driver.now;
-    driver.world.backends[0].drained = Some(drained);
+    let now = driver.now;
+    driver.world.backends[0].drained = Some(now);
     driver.run(seconds(3));
     let held = driver.traffic.held()[0];
     driver.run(seconds(20));
@@ -79,8 +80,8 @@
     assert_eq!((driver.counts.broken, driver.counts.refused), (0, 0));
 }
 
-/// Opens flows that no entry but their owners has learnt, and lets all flows fall silent.
-fn silent() -> Driver<Owners> {
+/// Opens flows that only their owners know, and stops the packets of all flows.
+fn idle_cluster() -> Driver<Owners> {
     let mut driver = cluster(8);
     let service = driver.world.backends[0].service;
     driver.traffic.targets.insert(service, 4_000);
@@ -92,8 +93,8 @@
     driver
 }
 
-/// Lets all flows send a packet.
-fn wake(driver: &mut Driver<Owners>) {
+/// Sends a packet of each flow.
+fn send_all(driver: &mut Driver<Owners>) {
     for flow in &mut driver.traffic.flows {
         flow.next = driver.now;
     }
@@ -102,19 +103,19 @@
 
 #[test]
 fn kill_one_entry() {
-    let mut driver = silent();
+    let mut driver = idle_cluster();
     driver.kill(2);
-    wake(&mut driver);
+    send_all(&mut driver);
     assert_eq!((driver.counts.broken, driver.counts.refused), (0, 0));
 }
 
 #[test]
 fn kill_second_after_copies() {
-    let mut driver = silent();
+    let mut driver = idle_cluster();
     driver.kill(2);
     driver.run(seconds(20));
     driver.kill(5);
-    wake(&mut driver);
+    send_all(&mut driver);
     assert_eq!((driver.counts.broken, driver.counts.refused), (0, 0));
 }
 
@@ -154,7 +155,7 @@
     driver.counts.dropped = 0;
     driver.run(seconds(24));
     assert_eq!(driver.counts.dropped, 0);
-    driver.mend();
+    driver.heal();
     driver.run(seconds(20));
     assert_eq!((driver.counts.broken, driver.counts.refused), (0, 0));
 }
@@ -182,11 +183,11 @@
 
 #[test]
 fn cut_off_centre() {
-    // A flow of UDP that is unknown on its side can't be told from a new one.
-    let mut driver = clustered(8, 0);
-    driver.part(&[1, 5]);
+    // A UDP flow that is unknown on its side of the partition is indistinguishable from a new one.
+    let mut driver = cluster_with_udp(8, 0);
+    driver.partition(&[1, 5]);
     driver.run(seconds(30));
-    driver.part(&[]);
+    driver.partition(&[]);
     driver.run(seconds(20));
     assert_eq!((driver.counts.broken, driver.counts.refused), (0, 0));
 }
--- a/crates/steering/tests/driver/flow.rs
+++ b/crates/steering/tests/driver/flow.rs
@@ -1,4 +1,4 @@
-//! One flow of the traffic.
+//! A simulated flow.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
     ServiceId, //
 };
 
-/// One flow of the traffic.
+/// A simulated flow.
 #[derive(Clone, Debug)]
 pub struct Flow {
-    /// The endpoint that its first packet reached.
+    /// Index of the endpoint that its first packet reached.
     pub backend: Option<usize>,
     pub end: Duration,
     pub id: FlowId,
-    /// The endpoint on which the best possible placement would have put it.
+    /// Index of the endpoint on which ideal placement puts it.
     pub ideal: usize,
     /// Time of the next packet.
     pub next: Duration,
     pub service: ServiceId,
-    /// When it was first sent without an answer.
-    pub silent: Option<Duration>,
+    /// Time of the first packet that was lost since the last delivery.
+    pub silent_since: Option<Duration>,
     pub udp: bool,
 }
 
--- a/crates/steering/tests/driver/mod.rs
+++ b/crates/steering/tests/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Drives the machines of a few entries through a schedule of changes, in memory and seeded.
+//! Simulation of entries, endpoints and flows in virtual time, with a seeded random generator.
 #![allow(
     dead_code,
     reason = "each test and benchmark uses a part of the driver"
@@ -37,17 +37,17 @@
 /// Time between two steps.
 pub const STEP: Duration = Duration::from_millis(100);
 
-/// Time after which a death or a cut is noticed.
+/// Time after which the other entries detect a crash or a network cut.
 pub const DETECTION: Duration = Duration::from_secs(3);
 
 /// Bytes of the IP and UDP headers of a message.
 const UDP_BYTES: usize = 28;
 
-/// An entry and its machine.
+/// A simulated entry with its state machine.
 #[derive(Clone, Debug)]
 pub struct Entry<S> {
     pub centre: u64,
-    /// What the machine was last told of.
+    /// The endpoints last passed to the state machine.
     endpoints: Vec<Endpoint>,
     pub frozen: bool,
     pub id: InstanceId,
@@ -58,39 +58,40 @@
     pub up: bool,
 }
 
-/// What was counted.
+/// Counters of the simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Flows whose packet reached another endpoint, or was refused while the endpoint lived.
+    /// Flows with a packet that reached another endpoint, was refused while the endpoint was alive,
+    /// or was lost for too long.
     pub broken: u64,
     pub control_bytes: u64,
     pub dropped: u64,
     pub hops: u64,
-    /// Largest number of entries that one packet was handed to.
-    pub longest: u64,
+    /// Maximum number of handovers of a packet.
+    pub max_hops: u64,
     pub opened: u64,
     pub packets: u64,
-    /// Answers to packets of flows whose endpoint is gone.
+    /// Refused packets of flows without a live endpoint.
     pub refused: u64,
 }
 
-/// How a packet ended.
+/// Outcome of a packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum End {
+pub enum Outcome {
     Delivered(EndpointId),
     Lost,
     Refused,
 }
 
-/// Entries, endpoints and flows under one clock.
+/// Simulation of entries, endpoints and flows on one clock.
 #[derive(Clone, Debug)]
 pub struct Driver<S: Steer> {
     pub counts: Counts,
-    /// Pairs of entries between which everything is lost.
+    /// Pairs of entries that cannot reach each other.
     pub cuts: BTreeSet<(usize, usize)>,
     pub entries: Vec<Entry<S>>,
-    /// Entries that are cut off from all others.
-    inside: BTreeSet<usize>,
+    /// Entries that are partitioned from all others.
+    isolated: BTreeSet<usize>,
     make: fn(Duration, Peer, u64) -> S,
     pub now: Duration,
     pub rng: ChaCha8Rng,
@@ -104,7 +105,7 @@
             counts: Counts::default(),
             cuts: BTreeSet::new(),
             entries: Vec::new(),
-            inside: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             make,
             now: Duration::ZERO,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Starts an entry that hears of changes after `lag`.
+    /// Starts an entry that learns of changes after `lag`.
     pub fn start(&mut self, centre: u64, lag: Duration) -> usize {
         let index = self.entries.len();
         let name: Box<str> = format!("entry-{index}").into();
@@ -132,11 +133,11 @@
         entry.machine.endpoints(self.now, &endpoints);
         entry.endpoints = endpoints;
         self.entries.push(entry);
-        self.announce(Duration::ZERO);
+        self.publish_peers(Duration::ZERO);
         index
     }
 
-    /// Starts a stopped entry again, with an empty table.
+    /// Restarts a stopped entry with an empty flow table.
     pub fn restart(&mut self, index: usize) {
         let now = self.now;
         let endpoints = self.world.endpoints(now, now);
@@ -148,53 +149,57 @@
         entry.endpoints = endpoints;
         entry.up = true;
         entry.frozen = false;
-        self.announce(Duration::ZERO);
+        self.publish_peers(Duration::ZERO);
     }
 
-    /// Ends an entry without a word; the others notice later.
+    /// Crashes an entry; the others detect it after [`DETECTION`].
     pub fn kill(&mut self, index: usize) {
         self.entries[index].up = false;
-        self.announce(DETECTION);
+        self.publish_peers(DETECTION);
     }
 
-    /// Stops an entry as planned: it leaves, gives its flows away and ends.
+    /// Stops an entry as planned: it leaves, hands off its flows and ends.
     pub fn stop(&mut self, index: usize) {
         let now = self.now;
         self.entries[index].machine.leave(now);
         self.world.leaving.insert(index);
-        self.announce(Duration::ZERO);
+        self.publish_peers(Duration::ZERO);
         let start = self.now;
         while !self.entries[index].machine.left() {
-            assert!(self.now < start + Duration::from_secs(60), "never left");
+            assert!(
+                self.now < start + Duration::from_secs(60),
+                "the entry never handed off its flows"
+            );
             self.step();
         }
-        // The process goes on for as long as others may still hand it packets.
+        // The process keeps running while others may still hand over packets to it.
         self.run(Duration::from_secs(3));
         self.world.leaving.remove(&index);
         self.entries[index].up = false;
-        self.announce(Duration::ZERO);
+        self.publish_peers(Duration::ZERO);
     }
 
-    /// Loses everything between two entries from now on.
+    /// Cuts the network between two entries.
     pub fn cut(&mut self, one: usize, other: usize) {
         self.cuts.insert((one.min(other), one.max(other)));
-        self.announce(DETECTION);
+        self.publish_peers(DETECTION);
     }
 
-    /// Cuts some entries off from all others, with one caller in four on their side.
-    pub fn part(&mut self, inside: &[usize]) {
-        let mending = inside.is_empty();
-        self.inside = inside.iter().copied().collect();
-        self.announce(if mending { Duration::ZERO } else { DETECTION });
+    /// Partitions some entries from all others, with one flow in four on their side; none ends the
+    /// partition.
+    pub fn partition(&mut self, isolated: &[usize]) {
+        let healing = isolated.is_empty();
+        self.isolated = isolated.iter().copied().collect();
+        self.publish_peers(if healing { Duration::ZERO } else { DETECTION });
     }
 
-    /// Ends all cuts.
-    pub fn mend(&mut self) {
+    /// Ends all cuts between pairs of entries.
+    pub fn heal(&mut self) {
         self.cuts.clear();
-        self.announce(Duration::ZERO);
+        self.publish_peers(Duration::ZERO);
     }
 
-    /// Runs for a time.
+    /// Advances virtual time by `time`.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -202,7 +207,7 @@
         }
     }
 
-    /// Goes one step ahead: updates, background work, packets.
+    /// Runs one step: updates, background work, packets.
     pub fn step(&mut self) {
         self.now += STEP;
         self.update();
@@ -212,52 +217,52 @@
         self.traffic = traffic;
     }
 
-    /// Sends a packet to a random entry.
-    pub fn spray(&mut self, arrival: &Arrival) -> End {
-        let within = arrival.flow.0.is_multiple_of(4);
+    /// Sends a packet to a random entry that it can reach.
+    pub fn send_to_random(&mut self, arrival: &Arrival) -> Outcome {
+        let isolated = arrival.flow.0.is_multiple_of(4);
         let up: Vec<_> = (0..self.entries.len())
-            .filter(|index| self.inside.is_empty() || self.inside.contains(index) == within)
+            .filter(|index| self.isolated.is_empty() || self.isolated.contains(index) == isolated)
             .filter(|index| self.entries[*index].up && !self.entries[*index].frozen)
             .collect();
         let index = up[self.rng.random_range(0..up.len())];
         self.send(index, arrival)
     }
 
-    /// Sends a packet to one entry and follows it to its end.
-    pub fn send(&mut self, index: usize, arrival: &Arrival) -> End {
+    /// Sends a packet to an entry and follows it to its outcome.
+    pub fn send(&mut self, index: usize, arrival: &Arrival) -> Outcome {
         let now = self.now;
         let mut at = index;
         let mut hops = 0;
         let mut action = self.entries[at].machine.packet(now, arrival);
         self.counts.packets += 1;
-        let end = loop {
+        let outcome = loop {
             match action {
-                Action::Drop(_) => break End::Lost,
-                Action::Forward(endpoint) if !self.knows(at, endpoint) => break End::Lost,
-                Action::Forward(endpoint) => break End::Delivered(endpoint),
+                Action::Drop(_) => break Outcome::Lost,
+                Action::Forward(endpoint) if !self.knows(at, endpoint) => break Outcome::Lost,
+                Action::Forward(endpoint) => break Outcome::Delivered(endpoint),
                 Action::Hint(endpoint, to) => {
                     self.hint(at, to, arrival, endpoint);
-                    break End::Delivered(endpoint);
+                    break Outcome::Delivered(endpoint);
                 }
                 Action::Pass(to, header) => {
                     hops += 1;
-                    assert!(hops <= 32, "a packet runs in a circle");
-                    let Some(next) = self.path(at, to) else {
-                        break End::Lost;
+                    assert!(hops <= 32, "a packet is handed over in a loop");
+                    let Some(next) = self.reachable(at, to) else {
+                        break Outcome::Lost;
                     };
                     let from = self.entries[at].id;
                     at = next;
                     action = self.entries[at].machine.handed(now, from, arrival, header);
                 }
-                Action::Refuse(_) => break End::Refused,
+                Action::Refuse(_) => break Outcome::Refused,
             }
         };
         self.counts.hops += hops;
-        self.counts.longest = self.counts.longest.max(hops);
-        end
+        self.counts.max_hops = self.counts.max_hops.max(hops);
+        outcome
     }
 
-    /// Whether an entry has heard of an endpoint, and so knows its address.
+    /// Whether an entry knows an endpoint and its address.
     fn knows(&self, at: usize, id: EndpointId) -> bool {
         let entry = &self.entries[at];
         entry.endpoints.iter().any(|endpoint| endpoint.id == id)
@@ -271,25 +276,25 @@
             service: arrival.service,
         };
         let from = self.entries[at].id;
-        if let Some(next) = self.path(at, to) {
+        if let Some(next) = self.reachable(at, to) {
             let now = self.now;
             self.entries[next].machine.copied(now, from, &[copy]);
         }
     }
 
-    /// The entry that a packet from `at` to `to` reaches.
-    fn path(&self, at: usize, to: InstanceId) -> Option<usize> {
+    /// Index of the entry `to` if it is reachable from `at`.
+    fn reachable(&self, at: usize, to: InstanceId) -> Option<usize> {
         let next = self.entries.iter().position(|entry| entry.id == to)?;
         let entry = &self.entries[next];
-        let cut = self.cuts.contains(&(at.min(next), at.max(next))) || self.parted(at, next);
+        let cut = self.cuts.contains(&(at.min(next), at.max(next))) || self.partitioned(at, next);
         (entry.up && !entry.frozen && !cut).then_some(next)
     }
 
-    fn parted(&self, one: usize, other: usize) -> bool {
-        self.inside.contains(&one) != self.inside.contains(&other)
+    fn partitioned(&self, one: usize, other: usize) -> bool {
+        self.isolated.contains(&one) != self.isolated.contains(&other)
     }
 
-    fn announce(&mut self, delay: Duration) {
+    fn publish_peers(&mut self, delay: Duration) {
         let peers = (0..self.entries.len())
             .map(|index| self.peers(index))
             .collect();
@@ -299,7 +304,7 @@
     fn peers(&self, own: usize) -> Vec<Peer> {
         let others = self.entries.iter().enumerate();
         others
-            .filter(|(index, entry)| *index != own && entry.up && !self.parted(own, *index))
+            .filter(|(index, entry)| *index != own && entry.up && !self.partitioned(own, *index))
             .map(|(index, entry)| Peer {
                 centre: entry.centre,
                 id: entry.id,
@@ -341,7 +346,7 @@
             self.counts.control_bytes += wire_bytes(&copies) as u64;
             let from = self.entries[index].id;
             for (to, copy) in copies {
-                if let Some(next) = self.path(index, to) {
+                if let Some(next) = self.reachable(index, to) {
                     self.entries[next].machine.copied(now, from, &[copy]);
                 }
             }
@@ -359,7 +364,7 @@
     }
 }
 
-/// Bytes of the messages that carry these copies.
+/// Bytes of the messages that carry the copies.
 fn wire_bytes(copies: &[(InstanceId, Copied)]) -> usize {
     let messages: BTreeSet<_> = copies.iter().map(|(to, _)| *to).collect();
     let groups: BTreeSet<_> = copies
--- a/crates/steering/tests/driver/traffic.rs
+++ b/crates/steering/tests/driver/traffic.rs
@@ -1,4 +1,4 @@
-//! The flows that callers hold.
+//! Simulated client traffic.
 
 use std::{
     collections::BTreeMap,
@@ -16,29 +16,29 @@
 
 use super::{
     Driver,
-    End,
+    Outcome,
     STEP,
     flow::Flow, //
 };
 
-/// Mean time between two packets of a flow.
-const INTERVAL: Duration = Duration::from_secs(4);
+/// Mean interval between packets of a flow.
+const PACKET_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Mean life of a short flow; one in two is short, the others stay.
-const SHORT: f64 = 20.0;
+/// Mean lifetime of a short flow, in seconds; one flow in two is short, the others stay open.
+const SHORT_LIFE_SECONDS: f64 = 20.0;
 
-/// Time without an answer after which a flow counts as broken.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time without a delivery after which a flow counts as broken.
+const DELIVERY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The flows that callers hold.
+/// The open flows of the clients.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
     pub flows: Vec<Flow>,
-    /// Highest ratio of the fullest endpoint to the mean, and to the best possible.
+    /// Maximum ratio of the fullest endpoint to the mean, and to ideal placement.
     pub imbalance: [f64; 2],
-    /// Flows of each service.
+    /// Number of flows to keep open for each service.
     pub targets: BTreeMap<ServiceId, usize>,
-    /// Share of UDP flows, in percent.
+    /// Percentage of UDP flows.
     pub udp: u32,
     counts: BTreeMap<ServiceId, usize>,
     held: Vec<u32>,
@@ -46,7 +46,7 @@
 }
 
 impl Traffic {
-    /// No flows yet; of those to come, a share of `udp` percent is UDP.
+    /// Creates traffic without flows; `udp` percent of the flows to come are UDP.
     pub fn with_udp(udp: u32) -> Self {
         Self {
             udp,
@@ -61,28 +61,28 @@
         self.ideal.resize(backends, 0);
         let mut index = 0;
         while index < self.flows.len() {
-            if self.drive(driver, index) {
+            if self.send_due(driver, index) {
                 index += 1;
             } else {
                 self.close(index);
             }
         }
-        self.refill(driver);
-        self.watch(driver);
+        self.open_missing(driver);
+        self.measure(driver);
     }
 
-    /// Starts the record of the imbalance anew.
-    pub fn reset(&mut self) {
+    /// Resets the measured imbalance.
+    pub fn reset_imbalance(&mut self) {
         self.imbalance = [0.0; 2];
     }
 
-    /// Number of open flows of each endpoint.
+    /// Number of open flows on each endpoint.
     pub fn held(&self) -> &[u32] {
         &self.held
     }
 
-    /// Sends the flow's packet if it is due; whether the flow goes on.
-    fn drive<S: Steer>(&mut self, driver: &mut Driver<S>, index: usize) -> bool {
+    /// Sends the flow's packet if it is due; returns whether the flow stays open.
+    fn send_due<S: Steer>(&mut self, driver: &mut Driver<S>, index: usize) -> bool {
         let now = driver.now;
         let flow = &self.flows[index];
         if flow.end <= now {
@@ -91,49 +91,49 @@
                 ..flow.arrival()
             };
             if !flow.udp && flow.backend.is_some() {
-                driver.spray(&last);
+                driver.send_to_random(&last);
             }
             return false;
         }
         if flow.next > now {
             return true;
         }
-        let end = driver.spray(&flow.arrival());
+        let outcome = driver.send_to_random(&flow.arrival());
         let flow = &mut self.flows[index];
-        flow.next = now + INTERVAL.mul_f64(driver.rng.random_range(0.5..1.5));
+        flow.next = now + PACKET_INTERVAL.mul_f64(driver.rng.random_range(0.5..1.5));
         let alive = flow
             .backend
             .is_none_or(|backend| driver.world.backends[backend].alive());
-        match (end, flow.backend) {
-            (End::Delivered(id), None) => {
+        match (outcome, flow.backend) {
+            (Outcome::Delivered(id), None) => {
                 let backend = driver.world.by_id(id).unwrap();
                 flow.backend = Some(backend);
                 flow.next = now + STEP;
-                flow.silent = None;
+                flow.silent_since = None;
                 self.held[backend] += 1;
                 true
             }
-            (End::Delivered(id), Some(backend)) if driver.world.backends[backend].id == id => {
-                flow.silent = None;
+            (Outcome::Delivered(id), Some(backend)) if driver.world.backends[backend].id == id => {
+                flow.silent_since = None;
                 true
             }
-            (End::Refused, _) if !alive => {
+            (Outcome::Refused, _) if !alive => {
                 driver.counts.refused += 1;
                 false
             }
-            (End::Delivered(_) | End::Refused, Some(_)) if alive => {
+            (Outcome::Delivered(_) | Outcome::Refused, Some(_)) if alive => {
                 driver.counts.broken += 1;
                 false
             }
-            (End::Delivered(_) | End::Refused, _) => {
+            (Outcome::Delivered(_) | Outcome::Refused, _) => {
                 driver.counts.refused += 1;
                 false
             }
-            (End::Lost, _) => {
+            (Outcome::Lost, _) => {
                 driver.counts.dropped += 1;
                 flow.next = now + STEP * 5;
-                let since = *flow.silent.get_or_insert(now);
-                let broken = now > since + PATIENCE;
+                let silent_since = *flow.silent_since.get_or_insert(now);
+                let broken = now > silent_since + DELIVERY_TIMEOUT;
                 driver.counts.broken += u64::from(broken);
                 !broken
             }
@@ -149,7 +149,7 @@
         }
     }
 
-    fn refill<S: Steer>(&mut self, driver: &mut Driver<S>) {
+    fn open_missing<S: Steer>(&mut self, driver: &mut Driver<S>) {
         let targets: Vec<_> = self.targets.clone().into_iter().collect();
         for (service, target) in targets {
             while self.counts.get(&service).copied().unwrap_or(0) < target {
@@ -165,19 +165,19 @@
             let backend = &driver.world.backends[*index];
             backend.ready() && backend.service == service
         };
-        let full = |index: &usize| {
+        let fill = |index: &usize| {
             f64::from(self.ideal[*index] + 1) / f64::from(driver.world.backends[*index].weight)
         };
         let best = (0..driver.world.backends.len())
             .filter(ready)
-            .min_by(|one, other| full(one).total_cmp(&full(other)));
+            .min_by(|one, other| fill(one).total_cmp(&fill(other)));
         let Some(ideal) = best else { return false };
         self.ideal[ideal] += 1;
         *self.counts.entry(service).or_default() += 1;
         driver.counts.opened += 1;
         let now = driver.now;
         let life = match driver.rng.random_bool(0.5) {
-            true => -SHORT * driver.rng.random_range(1e-6..1.0_f64).ln(),
+            true => -SHORT_LIFE_SECONDS * driver.rng.random_range(1e-6..1.0_f64).ln(),
             false => 1e6,
         };
         self.flows.push(Flow {
@@ -187,17 +187,17 @@
             ideal,
             next: now,
             service,
-            silent: None,
+            silent_since: None,
             udp: driver.rng.random_ratio(self.udp, 100),
         });
         let index = self.flows.len() - 1;
-        if !self.drive(driver, index) {
+        if !self.send_due(driver, index) {
             self.close(index);
         }
         true
     }
 
-    fn watch<S: Steer>(&mut self, driver: &Driver<S>) {
+    fn measure<S: Steer>(&mut self, driver: &Driver<S>) {
         for service in self.targets.keys() {
             let ready: Vec<_> = (0..self.held.len())
                 .filter(|index| {
@@ -205,21 +205,21 @@
                     backend.ready() && backend.service == *service
                 })
                 .collect();
-            let full = |held: &[u32], index: usize| {
+            let fill = |held: &[u32], index: usize| {
                 f64::from(held[index]) / f64::from(driver.world.backends[index].weight)
             };
             let highest = |held: &[u32]| {
                 ready
                     .iter()
-                    .map(|index| full(held, *index))
+                    .map(|index| fill(held, *index))
                     .fold(0.0, f64::max)
             };
-            let sum: f64 = ready.iter().map(|index| full(&self.held, *index)).sum();
+            let sum: f64 = ready.iter().map(|index| fill(&self.held, *index)).sum();
             let mean = sum / ready.len() as f64;
             if mean > 0.0 {
-                let ours = highest(&self.held);
-                self.imbalance[0] = self.imbalance[0].max(ours / mean);
-                self.imbalance[1] = self.imbalance[1].max(ours / highest(&self.ideal));
+                let highest_held = highest(&self.held);
+                self.imbalance[0] = self.imbalance[0].max(highest_held / mean);
+                self.imbalance[1] = self.imbalance[1].max(highest_held / highest(&self.ideal));
             }
         }
     }
--- a/crates/steering/tests/driver/world.rs
+++ b/crates/steering/tests/driver/world.rs
@@ -1,4 +1,4 @@
-//! What is true of the endpoints and entries, and since when.
+//! True state of the endpoints and entries, with the times of its changes.
 
 use std::{
     collections::BTreeSet,
@@ -12,20 +12,20 @@
     ServiceId, //
 };
 
-/// Time without an announcement after which an endpoint is gone for an entry.
+/// Time without an announcement after which an entry takes an endpoint to be gone.
 pub const LEASE: Duration = Duration::from_secs(5);
 
-/// Time over which a fresh endpoint's share grows.
+/// Slow start: time over which a new endpoint's share grows.
 const WARMUP: Duration = Duration::from_secs(30);
 
-/// An endpoint, and when what happened to it.
+/// A simulated endpoint, with the times of its changes.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    pub born: Duration,
+    pub added: Duration,
     pub died: Option<Duration>,
     pub drained: Option<Duration>,
     pub id: EndpointId,
-    /// Load that it reports.
+    /// Reported load.
     pub load: f32,
     pub service: ServiceId,
     pub weight: u32,
@@ -36,18 +36,18 @@
         self.died.is_none()
     }
 
-    /// Whether it takes new flows in truth.
+    /// Whether it truly accepts new flows.
     pub fn ready(&self) -> bool {
         self.alive() && self.drained.is_none()
     }
 }
 
-/// What is true of the endpoints and entries, and since when.
+/// True state of the endpoints and entries, with the times of its changes.
 #[derive(Clone, Debug, Default)]
 pub struct World {
     pub backends: Vec<Backend>,
     pub leaving: BTreeSet<usize>,
-    /// The other entries of each entry, by the time from which this can be known.
+    /// The peers of each entry, with the time at which they can be known.
     pub peers: Vec<(Duration, Vec<Vec<Peer>>)>,
 }
 
@@ -56,7 +56,7 @@
     pub fn add(&mut self, now: Duration, service: ServiceId, weight: u32) -> usize {
         let name = format!("endpoint-{}", self.backends.len());
         self.backends.push(Backend {
-            born: now,
+            added: now,
             died: None,
             drained: None,
             id: EndpointId::new(&name, "service", 1),
@@ -67,34 +67,34 @@
         self.backends.len() - 1
     }
 
-    /// The endpoints as an entry knows them that has heard all that happened before `seen`.
+    /// The endpoints as known at `now` to an entry that has learnt of all changes until `seen`.
     pub fn endpoints(&self, now: Duration, seen: Duration) -> Vec<Endpoint> {
         let before = |time: Option<Duration>| time.is_some_and(|time| time <= seen);
         self.backends
             .iter()
-            .filter(|one| one.born <= seen)
-            .filter(|one| one.died.is_none_or(|died| now < died + LEASE))
-            .map(|one| Endpoint {
-                id: one.id,
-                load: one.load,
-                service: one.service,
-                share: if before(one.drained) || before(one.died) {
+            .filter(|backend| backend.added <= seen)
+            .filter(|backend| backend.died.is_none_or(|died| now < died + LEASE))
+            .map(|backend| Endpoint {
+                id: backend.id,
+                load: backend.load,
+                service: backend.service,
+                share: if before(backend.drained) || before(backend.died) {
                     0
                 } else {
-                    share(now.saturating_sub(one.born), one.born)
+                    share(now.saturating_sub(backend.added), backend.added)
                 },
-                weight: one.weight,
+                weight: backend.weight,
             })
             .collect()
     }
 
     pub fn by_id(&self, id: EndpointId) -> Option<usize> {
-        self.backends.iter().position(|one| one.id == id)
+        self.backends.iter().position(|backend| backend.id == id)
     }
 }
 
-fn share(age: Duration, born: Duration) -> u16 {
-    if born == Duration::ZERO {
+fn share(age: Duration, added: Duration) -> u16 {
+    if added == Duration::ZERO {
         return Endpoint::FULL_SHARE;
     }
     let steps = age.as_millis() * 10 / WARMUP.as_millis();
--- a/crates/steering/tests/reuse.rs
+++ b/crates/steering/tests/reuse.rs
@@ -1,8 +1,8 @@
-//! Exhaustive exploration: a packet never reaches an endpoint of another service.
+//! Exhaustive exploration: no packet reaches an endpoint of another service.
 //!
-//! Two entries and one address that passes from one service to another; each entry hears of the
-//! change at any time, packets of both services' flows reach either entry in any order, and an
-//! entry may restart with an empty table.
+//! Two entries steer flows to one address, which is reused by another service. Each entry learns of
+//! the change at any time, packets of both services' flows reach either entry in any order, and an
+//! entry may restart with an empty flow table.
 
 use std::{
     hash::{
@@ -27,7 +27,7 @@
 };
 use pathfinding::directed::bfs::bfs_reach;
 
-/// Steps of the longest explored path.
+/// Number of steps of the longest explored path.
 const DEPTH: u8 = 4;
 
 const NOW: Duration = Duration::from_secs(60);
@@ -36,10 +36,10 @@
 struct State {
     depth: u8,
     entries: [Owners; 2],
-    /// The service that each entry holds the address for.
+    /// Index of the service at the address, as known to each entry.
     known: [usize; 2],
     steps: Vec<u8>,
-    wrong: bool,
+    violated: bool,
 }
 
 impl PartialEq for State {
@@ -98,9 +98,9 @@
         for _ in 0..16 {
             match action {
                 Action::Forward(endpoint) => {
-                    // An entry sends to an address only while it knows that very binding.
+                    // An entry sends to an address only while it knows this binding of it.
                     let sent = endpoint == id(self.known[at]);
-                    self.wrong |= sent && service(self.known[at]) != arrival.service;
+                    self.violated |= sent && service(self.known[at]) != arrival.service;
                     return;
                 }
                 Action::Pass(_, header) => {
@@ -111,7 +111,7 @@
                 Action::Drop(_) | Action::Hint(..) | Action::Refuse(_) => return,
             }
         }
-        self.wrong = true;
+        self.violated = true;
     }
 
     fn step(&self, number: u8) -> Self {
@@ -147,17 +147,17 @@
         entries: [entry(0, 0), entry(1, 0)],
         known: [0, 0],
         steps: Vec::new(),
-        wrong: false,
+        violated: false,
     };
     let mut count = 0_u64;
     let steps = 4 + 12;
     for state in bfs_reach(start, |state| {
-        let more = if state.depth < DEPTH { steps } else { 0 };
+        let choices = if state.depth < DEPTH { steps } else { 0 };
         let state = state.clone();
-        (0..more).map(move |number| state.step(number))
+        (0..choices).map(move |number| state.step(number))
     }) {
         count += 1;
-        assert!(!state.wrong, "{:?}", state.steps);
+        assert!(!state.violated, "{:?}", state.steps);
     }
     assert!(count > 60_000, "{count}");
 }
