--- a/crates/directory/src/directory.rs
+++ b/crates/directory/src/directory.rs
@@ -123,7 +123,7 @@
     /// The endpoint of a key while it is in use; its established flows still go to its address.
     ///
     /// A key whose lease has expired is in use again if the same incarnation is confirmed later; see
-    /// [`knows`](Self::knows).
+    /// [`contains_key`](Self::contains_key).
     pub fn get(&self, key: EndpointKey) -> Option<&Endpoint> {
         self.bindings
             .get(key)
@@ -138,7 +138,7 @@
 
     /// Whether the directory holds the key's binding, also an expired one; once removed, it never
     /// returns.
-    pub fn knows(&self, key: EndpointKey) -> bool {
+    pub fn contains_key(&self, key: EndpointKey) -> bool {
         self.bindings.contains_key(key)
     }
 
--- a/crates/directory/tests/directory.rs
+++ b/crates/directory/tests/directory.rs
@@ -95,7 +95,7 @@
     assert_eq!(directory.announce(now, late), Err(Code::AnnouncementStale));
     assert_eq!(directory.get(key), None);
     run(&mut directory, &mut now, TOMBSTONE_RETENTION);
-    assert!(!directory.knows(key));
+    assert!(!directory.contains_key(key));
     let late = report("desk-1", 1, 2).with_age(LEASE);
     assert_eq!(directory.announce(now, late), Err(Code::AnnouncementStale));
     assert_eq!(directory.iter().count(), 0);
@@ -157,7 +157,7 @@
     let key = directory.announce(now, report("desk-1", 2, 1)).unwrap();
     assert_ne!(key, old);
     assert!(directory.takes(now, key));
-    assert!(!directory.knows(old));
+    assert!(!directory.contains_key(old));
 }
 
 #[test]
