--- a/crates/codes/src/lib.rs
+++ b/crates/codes/src/lib.rs
@@ -1,7 +1,7 @@
-//! The numbered result codes that the system's processes report.
+//! The numbered result codes that the processes report.
 //!
-//! Every refusal and failure that leaves a process carries one [`Code`]. The number tells the
-//! area: 1xxx settings and documents, 2xxx packets, 3xxx requests, 4xxx announcements, 5xxx
+//! Every refusal or failure that a process reports has a [`Code`]. The first digit of its number is
+//! the area: 1xxx settings and documents, 2xxx packets, 3xxx requests, 4xxx announcements, 5xxx
 //! configuration, 6xxx traffic between instances. `docs/RESULT-CODES.md` holds the same table.
 
 use std::fmt::{
@@ -15,12 +15,12 @@
     Serialize, //
 };
 
-/// Whether the work that a result stands for may have been carried out.
+/// Whether the request behind a result was carried out.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Run {
-    /// It may have run; only the endpoint or a later look can tell.
+    /// It may have run; only the endpoint or a later query can tell.
     May,
     /// It did not run.
     Not,
@@ -51,22 +51,22 @@
             /// Every code, in ascending order of its number.
             pub const ALL: &[Self] = &[$(Self::$name),*];
 
-            /// What the code means, as one sentence.
+            /// Meaning of the code, as one sentence.
             pub const fn meaning(self) -> &'static str {
                 match self { $(Self::$name => $meaning,)* }
             }
 
-            /// The code's name in the source.
+            /// Name of the code in the source.
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$name => stringify!($name),)* }
             }
 
-            /// The code's number, which never changes its meaning.
+            /// Number of the code; its meaning never changes.
             pub const fn number(self) -> u16 {
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// Whether the work behind the result may have been carried out.
+            /// Whether the request behind the result was carried out.
             pub const fn run(self) -> Run {
                 match self { $(Self::$name => Run::$run,)* }
             }
--- a/crates/codes/tests/table.rs
+++ b/crates/codes/tests/table.rs
@@ -1,4 +1,4 @@
-//! The documentation's table and the source agree.
+//! The table of result codes in the documentation matches the source.
 
 use mimosausher_codes::Code;
 
