--- a/crates/configuration/benches/capacity.rs
+++ b/crates/configuration/benches/capacity.rs
@@ -1,4 +1,4 @@
-//! Processor time of a change and memory of the document, by the number of services.
+//! CPU time of a change and memory of the document, by number of services.
 
 #![allow(missing_docs, reason = "a benchmark has no public items")]
 
@@ -21,10 +21,10 @@
 /// Numbers of services.
 const SIZES: [u32; 5] = [2_500, 5_000, 10_000, 20_000, 40_000];
 
-/// Services in a section.
-const SECTION: u32 = 10;
+/// Number of services in a section.
+const SECTION_SERVICES: u32 = 10;
 
-/// Changes that are timed at each size.
+/// Number of changes that are timed at each size.
 const CHANGES: u32 = 400;
 
 fn main() {
@@ -32,13 +32,15 @@
     for size in SIZES {
         let before = resident().unwrap();
         let mut configuration = Configuration::new();
-        let changed = (0..size / SECTION).map(|number| text(number, 0)).collect();
+        let changed = (0..size / SECTION_SERVICES)
+            .map(|number| section(number, 0))
+            .collect();
         apply(&mut configuration, change(1, true, changed));
         memories.push((f64::from(size), resident().unwrap() - before));
         let start = Instant::now();
-        for turn in 0..CHANGES {
-            let changed = vec![text(turn % (size / SECTION), turn)];
-            let revision = u64::from(turn) + 2;
+        for round in 0..CHANGES {
+            let changed = vec![section(round % (size / SECTION_SERVICES), round)];
+            let revision = u64::from(round) + 2;
             apply(&mut configuration, change(revision, false, changed));
         }
         let nanos = start.elapsed().as_secs_f64() * 1e9 / f64::from(CHANGES);
@@ -50,7 +52,7 @@
         )
         .print();
         times.push((f64::from(size), nanos));
-        // Memory that is freed is not given back at once, so it must not serve the next size.
+        // Freed memory is not returned to the system at once, so the next size must not reuse it.
         std::mem::forget(black_box(configuration));
     }
     let case = "by service in the document";
@@ -72,20 +74,20 @@
     }
 }
 
-fn text(number: u32, turn: u32) -> Text {
+fn section(number: u32, round: u32) -> Text {
     let mut text = format!("team = \"team-{number}\"\n");
-    for service in number * SECTION..(number + 1) * SECTION {
+    for service in number * SECTION_SERVICES..(number + 1) * SECTION_SERVICES {
         let [_, one, two, three] = service.to_be_bytes();
         text += &format!(
             "[[service]]\nname = \"service-{service}\"\nmode = \"flows\"\n\
              address = \"10.{one}.{two}.{three}\"\nport = {}\ntransport = \"tcp\"\n\
              endpoints = [\"service-{service}-*\"]\n",
-            1000 + turn % 1000
+            1000 + round % 1000
         );
     }
     Text {
         name: format!("section-{number}").into(),
         text: text.into(),
-        version: u64::from(turn) + 1,
+        version: u64::from(round) + 1,
     }
 }
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -1,4 +1,4 @@
-//! What differs between two revisions of the document.
+//! Changes between two revisions of the document.
 
 use settings::Section;
 
@@ -7,26 +7,26 @@
 pub struct Text {
     /// Name of the section.
     pub name: Box<str>,
-    /// Its text.
+    /// Text of the section.
     pub text: Box<str>,
-    /// Its version.
+    /// Version of the section.
     pub version: u64,
 }
 
-/// What differs between two revisions of the document.
+/// A change from one revision of the document to a later one.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Change {
     /// Sections with a new text.
     pub changed: Vec<Text>,
-    /// Whether `changed` is the whole document, so that all other sections go.
+    /// Whether `changed` is the whole document, so that all other sections are removed.
     pub complete: bool,
-    /// Names of the sections that go.
+    /// Names of the removed sections.
     pub removed: Vec<Box<str>>,
     /// The later revision.
     pub revision: u64,
 }
 
-/// A change whose texts have been read.
+/// A change with its sections parsed.
 #[derive(Clone, Debug)]
 pub struct Prepared {
     pub(crate) complete: bool,
--- a/crates/configuration/src/configuration.rs
+++ b/crates/configuration/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The document in force, ready to be looked up by packet and by request.
+//! The document in force, indexed for lookups by packet and by request.
 
 use std::{
     collections::{
@@ -25,18 +25,18 @@
 };
 
 slotmap::new_key_type! {
-    /// Key of a service; never used again for another one.
+    /// Key of a service, which is never reused for another one.
     pub struct ServiceKey;
 }
 
 /// A section in force.
 #[derive(Clone, Debug)]
-struct Entry {
+struct StoredSection {
     keys: Box<[ServiceKey]>,
     text: Text,
 }
 
-/// The document in force, ready to be looked up by packet and by request.
+/// The document in force, indexed for lookups by packet and by request.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
     addresses: HashMap<Address, ServiceKey>,
@@ -44,12 +44,12 @@
     names: HashMap<Box<str>, ServiceKey>,
     retention: Duration,
     revision: u64,
-    sections: BTreeMap<Box<str>, Entry>,
+    sections: BTreeMap<Box<str>, StoredSection>,
     services: SlotMap<ServiceKey, Service>,
 }
 
 impl Configuration {
-    /// Creates the empty configuration of a first start.
+    /// Creates an empty configuration.
     pub fn new() -> Self {
         Self {
             retention: Duration::from_millis(KEEP_MS),
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Reads the sections of a change, which stays without effect; none if its revision is not
-    /// later than the one in force.
+    /// Parses the sections of a change without applying it; none if its revision is not later than
+    /// the one in force.
     ///
     /// # Errors
     ///
-    /// The refusal of a section's text.
+    /// The error of the first section that is not valid.
     pub fn prepare(&self, change: Change) -> Result<Option<Prepared>, Error> {
         if change.revision <= self.revision {
             return Ok(None);
@@ -80,8 +80,8 @@
         }))
     }
 
-    /// Takes a prepared change into force; returns false, and changes nothing, if its revision is
-    /// not later than the one in force.
+    /// Applies a prepared change; returns false, and changes nothing, if its revision is not later
+    /// than the one in force.
     pub fn apply(&mut self, change: Prepared) -> bool {
         if change.revision <= self.revision {
             return false;
@@ -92,7 +92,7 @@
         for name in &change.removed {
             self.remove(name);
         }
-        // All old texts go first, so that an address may move from one section to another.
+        // All old texts are removed first, so that an address may move between sections.
         for (text, _) in &change.sections {
             self.remove(&text.name);
         }
@@ -100,7 +100,7 @@
             self.insert(text, section);
         }
         self.revision = change.revision;
-        self.retention = self.longest();
+        self.retention = self.longest_retention();
         true
     }
 
@@ -121,17 +121,17 @@
             .filter_map(|(address, key)| Some((*address, self.services.get(*key)?)))
     }
 
-    /// Longest time for which a service's answers are kept for resends.
+    /// Longest time for which a service keeps its answers for resent requests.
     pub const fn retention(&self) -> Duration {
         self.retention
     }
 
-    /// Revision of the document in force; 0 before there is one.
+    /// Revision of the document in force; 0 if there is none yet.
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The service of that name.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(*self.names.get(name)?)
     }
@@ -160,14 +160,14 @@
             }
             keys.push(key);
         }
-        let entry = Entry {
+        let entry = StoredSection {
             keys: keys.into(),
             text,
         };
         self.sections.insert(entry.text.name.clone(), entry);
     }
 
-    fn longest(&self) -> Duration {
+    fn longest_retention(&self) -> Duration {
         let services = self.services.values();
         let longest = services.map(|service| service.requests.keep_ms).max();
         Duration::from_millis(longest.unwrap_or(KEEP_MS))
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' document in force at an instance.
+//! The configuration document in force on an instance.
 //!
-//! A change touches only the sections that it names, so that its cost does not grow with the
-//! document.
+//! A change modifies only the sections that it names, so that its cost is independent of the size
+//! of the document.
 
 mod change;
 mod configuration;
--- a/crates/configuration/tests/configuration.rs
+++ b/crates/configuration/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Changes go upward only, touch just what they name, and leave no trace of what went.
+//! Changes apply in ascending order of revisions, affect only the sections that they name, and
+//! remove all index entries of removed sections.
 
 use std::time::Duration;
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// Takes a change into force; returns whether it was later than the one in force.
+/// Prepares and applies a change; returns whether its revision was later than the one in force.
 fn apply(configuration: &mut Configuration, change: Change) -> bool {
     match configuration.prepare(change).unwrap() {
         Some(prepared) => configuration.apply(prepared),
