--- a/crates/announcements/src/announcement.rs
+++ b/crates/announcements/src/announcement.rs
@@ -1,4 +1,4 @@
-//! What an endpoint says of itself.
+//! Announcements of endpoints.
 
 use std::net::SocketAddrV4;
 
@@ -7,36 +7,37 @@
     Serialize, //
 };
 
-/// An endpoint's own word on whether it takes flows.
+/// Whether an endpoint accepts flows, as announced by itself.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum State {
-    /// Keeps what it has and is about to leave.
+    /// Keeps its flows, accepts no new ones and is about to leave.
     Draining,
-    /// Takes flows.
+    /// Accepts flows.
     Ready,
 }
 
-/// What an endpoint says of itself.
+/// An endpoint's announcement of itself.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Announcement {
-    /// Where it takes packets.
+    /// Address at which it receives packets.
     pub address: SocketAddrV4,
-    /// Its data centre.
+    /// Data centre of the endpoint.
     pub centre: Box<str>,
-    /// Its name.
+    /// Name of the endpoint.
     pub name: Box<str>,
-    /// Start of the process, in milliseconds since the Unix epoch; tells its incarnations apart.
+    /// Start of the endpoint's process, in milliseconds since the Unix epoch, which distinguishes
+    /// its incarnations.
     pub incarnation: u64,
-    /// Grows with each announcement of one incarnation.
+    /// Sequence number, which increases with each announcement of an incarnation.
     pub sequence: u64,
     /// The service that it serves.
     pub service: Box<str>,
-    /// Requests that it works on at once.
+    /// Maximum number of requests that it processes concurrently.
     pub slots: u16,
-    /// Whether it takes flows.
+    /// Whether it accepts flows.
     pub state: State,
-    /// How much longer it stays slow after its start, in milliseconds.
+    /// Remaining time of its slow start, in milliseconds.
     pub warmup: u32,
 }
--- a/crates/announcements/src/lib.rs
+++ b/crates/announcements/src/lib.rs
@@ -1,9 +1,9 @@
-//! Endpoints as they announce themselves to the stores.
+//! Registry of the endpoints that announce themselves to the stores.
 //!
-//! Announcements and departures reach several stores, late, twice and in any order. Each store
-//! keeps a [`Registry`] of [`Record`]s; two registries that have seen the same records hold the
-//! same, whatever way these came. There is no clock, socket or thread: times are arguments, and
-//! count from the process's start.
+//! Announcements and departures may reach several stores, delayed, duplicated and in any order.
+//! Each store keeps a [`Registry`] of [`Record`]s; registries that have seen the same records
+//! converge to the same state, in whatever order the records arrived. The registry does no I/O and
+//! has no clock: times are arguments and count from the start of the process.
 
 mod announcement;
 mod rank;
@@ -20,6 +20,6 @@
     registry::{
         Known,
         Registry,
-        TOMBSTONE, //
+        TOMBSTONE_RETENTION, //
     },
 };
--- a/crates/announcements/src/rank.rs
+++ b/crates/announcements/src/rank.rs
@@ -1,11 +1,11 @@
-//! The order of what is known of one endpoint.
+//! Precedence of the records of one endpoint.
 
-/// The order of what is known of one endpoint: the higher rank replaces the lower.
+/// Precedence of a record among those of the same endpoint; a higher rank replaces a lower one.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Rank {
-    /// A later start goes before all that is known of an earlier one.
+    /// A later incarnation replaces all records of an earlier one.
     pub incarnation: u64,
-    /// A departure is the last word of an incarnation.
+    /// A departure is final for its incarnation.
     pub departed: bool,
     /// A later announcement replaces an earlier one.
     pub sequence: u64,
--- a/crates/announcements/src/record.rs
+++ b/crates/announcements/src/record.rs
@@ -1,4 +1,4 @@
-//! What stores tell each other, and entries, of an endpoint.
+//! Records of endpoints, as exchanged between stores and sent to entries.
 
 use serde::{
     Deserialize,
@@ -10,22 +10,23 @@
     rank::Rank, //
 };
 
-/// What stores tell each other, and entries, of an endpoint.
+/// State of an endpoint, as exchanged between stores and sent to entries.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Record {
-    /// Time since the endpoint was heard, in milliseconds.
+    /// Time since the endpoint's last announcement, in milliseconds.
     pub age: u32,
-    /// Its last announcement.
+    /// Last announcement of the endpoint.
     pub announcement: Announcement,
-    /// Whether it has left for good.
+    /// Whether this incarnation of the endpoint has left.
     pub departed: bool,
-    /// Whether the sender has not heard of it for so long that it is likely dead.
+    /// Whether the endpoint's announcements have stopped at the sender, so that it has likely
+    /// failed.
     pub silent: bool,
 }
 
 impl Record {
-    /// Where the record stands among others of the same endpoint.
+    /// Precedence of the record among others of the same endpoint.
     pub const fn rank(&self) -> Rank {
         Rank {
             incarnation: self.announcement.incarnation,
--- a/crates/announcements/src/registry.rs
+++ b/crates/announcements/src/registry.rs
@@ -1,4 +1,4 @@
-//! The endpoints that a store knows.
+//! Registry of the endpoints known to a store.
 
 use std::{
     collections::{
@@ -15,27 +15,27 @@
     record::Record, //
 };
 
-/// Time for which a departed endpoint is remembered: longer than any report of it may be late.
-pub const TOMBSTONE: Duration = Duration::from_secs(600);
+/// Time for which a departed endpoint is retained: longer than any report of it may be delayed.
+pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
 
-/// Added to every time, so that what happened before the process started has a time as well.
-const ORIGIN: Duration = Duration::from_secs(3600);
+/// Offset added to every time, so that events before the start of the process have a time as well.
+const CLOCK_OFFSET: Duration = Duration::from_secs(3600);
 
-/// What a store knows of one endpoint.
+/// State of one endpoint as known to a store.
 #[derive(Clone, Debug)]
 pub struct Known {
-    /// Its last announcement.
+    /// Last announcement of the endpoint.
     pub announcement: Announcement,
-    /// Whether it has left for good.
+    /// Whether this incarnation of the endpoint has left.
     pub departed: bool,
-    /// Whether it was not heard for longer than the registry's patience.
+    /// Whether its last announcement is older than the registry's timeout.
     pub silent: bool,
-    /// Number of the last change that matters to an entry.
-    changed: u64,
-    /// When it was heard last, with [`ORIGIN`].
-    heard: Duration,
-    /// Number of the last change or direct announcement, which matters to other stores.
-    touched: u64,
+    /// Number of the last change that is sent to entries.
+    entry_change: u64,
+    /// Time of its last announcement, plus [`CLOCK_OFFSET`].
+    last_announced: Duration,
+    /// Number of the last change or direct announcement, which is sent to other stores.
+    store_change: u64,
 }
 
 impl Known {
@@ -48,30 +48,32 @@
     }
 }
 
-/// The endpoints that a store knows, by name.
+/// Registry of the endpoints known to a store, by name.
 #[derive(Clone, Debug)]
 pub struct Registry {
-    /// Endpoints by address: the one with the latest incarnation holds it.
+    /// Endpoint that owns each address: the one with the latest incarnation.
     addresses: HashMap<SocketAddrV4, Box<str>>,
-    /// Grows with each change and each direct announcement.
+    /// Number of the latest change; each change and each direct announcement increments it.
     count: u64,
     endpoints: BTreeMap<Box<str>, Known>,
-    /// Time without a word after which an endpoint counts as silent.
-    patience: Duration,
+    /// Time without an announcement after which an endpoint counts as silent.
+    timeout: Duration,
 }
 
 impl Registry {
-    /// Creates an empty registry; an endpoint that says nothing for `patience` counts as silent.
-    pub fn new(patience: Duration) -> Self {
+    /// Creates an empty registry; an endpoint without an announcement for `timeout` counts as
+    /// silent.
+    pub fn new(timeout: Duration) -> Self {
         Self {
             addresses: HashMap::new(),
             count: 0,
             endpoints: BTreeMap::new(),
-            patience,
+            timeout,
         }
     }
 
-    /// Takes in what an endpoint said to this store; returns whether it was news of any kind.
+    /// Applies an announcement that this store received from the endpoint itself; returns whether
+    /// it was newer than the known one.
     pub fn announce(&mut self, now: Duration, announcement: Announcement) -> bool {
         let record = Record {
             age: 0,
@@ -79,11 +81,11 @@
             departed: false,
             silent: false,
         };
-        self.take(now, record, true)
+        self.insert(now, record, true)
     }
 
-    /// Takes in a departure. Without an incarnation it means the latest one that is known.
-    /// Returns the change's number; none if the endpoint is unknown or a later one has started.
+    /// Applies a departure, by default of the latest known incarnation. Returns the change's
+    /// number; none if the endpoint is unknown or a later incarnation has started.
     pub fn depart(&mut self, now: Duration, name: &str, incarnation: Option<u64>) -> Option<u64> {
         let known = self.endpoints.get(name)?;
         let held = known.announcement.incarnation;
@@ -98,31 +100,32 @@
             departed: true,
             silent: false,
         };
-        self.take(now, record, true);
-        self.endpoints.get(name).map(|known| known.touched)
+        self.insert(now, record, true);
+        self.endpoints.get(name).map(|known| known.store_change)
     }
 
-    /// Takes in what another store knows; returns whether it was news.
+    /// Applies a record from another store; returns whether it was newer than the known one.
     pub fn merge(&mut self, now: Duration, record: Record) -> bool {
-        self.take(now, record, false)
+        self.insert(now, record, false)
     }
 
-    /// Notes silence and forgets old departures; to be called a few times a second.
+    /// Updates which endpoints are silent, and evicts departed or silent ones after [`TOMBSTONE_RETENTION`].
+    /// To be called a few times a second.
     pub fn tick(&mut self, now: Duration) {
-        let now = now + ORIGIN;
-        let (patience, mut count) = (self.patience, self.count);
+        let now = now + CLOCK_OFFSET;
+        let (timeout, mut count) = (self.timeout, self.count);
         for known in self.endpoints.values_mut() {
-            let silent = now.saturating_sub(known.heard) > patience;
+            let silent = now.saturating_sub(known.last_announced) > timeout;
             if silent != known.silent {
                 count += 1;
                 known.silent = silent;
-                known.changed = count;
+                known.entry_change = count;
             }
         }
         self.count = count;
         self.endpoints.retain(|_, known| {
-            let past = now.saturating_sub(known.heard) > TOMBSTONE;
-            !(past && (known.departed || known.silent))
+            let expired = now.saturating_sub(known.last_announced) > TOMBSTONE_RETENTION;
+            !(expired && (known.departed || known.silent))
         });
         let endpoints = &self.endpoints;
         self.addresses
@@ -134,7 +137,7 @@
         self.count
     }
 
-    /// What is known of an endpoint.
+    /// State of an endpoint.
     pub fn get(&self, name: &str) -> Option<&Known> {
         self.endpoints.get(name)
     }
@@ -144,22 +147,22 @@
         self.endpoints.values()
     }
 
-    /// What another store lacks that has all up to the change `since`.
+    /// Records that another store lacks if it has all changes up to `since`.
     pub fn touched(&self, now: Duration, since: u64) -> Vec<Record> {
-        self.records(now, |known| known.touched > since)
+        self.records(now, |known| known.store_change > since)
     }
 
-    /// What an entry lacks that has all up to the change `since`.
+    /// Records that an entry lacks if it has all changes up to `since`.
     pub fn changed(&self, now: Duration, since: u64) -> Vec<Record> {
-        self.records(now, |known| known.changed > since)
+        self.records(now, |known| known.entry_change > since)
     }
 
     fn records(&self, now: Duration, wanted: impl Fn(&Known) -> bool) -> Vec<Record> {
-        let now = now + ORIGIN;
+        let now = now + CLOCK_OFFSET;
         let known = self.endpoints.values().filter(|known| wanted(known));
         known
             .map(|known| {
-                let age = now.saturating_sub(known.heard).as_millis();
+                let age = now.saturating_sub(known.last_announced).as_millis();
                 Record {
                     age: u32::try_from(age).unwrap_or(u32::MAX),
                     announcement: known.announcement.clone(),
@@ -170,15 +173,15 @@
             .collect()
     }
 
-    fn take(&mut self, now: Duration, mut record: Record, direct: bool) -> bool {
-        let now = now + ORIGIN;
-        let heard = now.saturating_sub(Duration::from_millis(u64::from(record.age)));
-        record.departed |= self.outlived(&record);
+    fn insert(&mut self, now: Duration, mut record: Record, direct: bool) -> bool {
+        let now = now + CLOCK_OFFSET;
+        let last_announced = now.saturating_sub(Duration::from_millis(u64::from(record.age)));
+        record.departed |= self.superseded(&record);
         let name = record.announcement.name.clone();
         let rank = record.rank();
-        let (same, held) = match self.endpoints.get(&name) {
+        let (same, previous) = match self.endpoints.get(&name) {
             Some(known) if known.rank() >= rank => return false,
-            Some(known) => (alike(known, &record), known.heard),
+            Some(known) => (is_renewal(known, &record), known.last_announced),
             None => (false, Duration::ZERO),
         };
         self.count += 1;
@@ -187,46 +190,46 @@
         let departed = record.departed;
         let known = self.endpoints.entry(name.clone()).or_insert(Known {
             announcement: record.announcement.clone(),
-            changed: count,
+            entry_change: count,
             departed,
-            heard,
+            last_announced,
             silent: false,
-            touched: count,
+            store_change: count,
         });
         known.announcement = record.announcement;
         known.departed = departed;
-        known.heard = held.max(heard);
-        let silent = now.saturating_sub(known.heard) > self.patience;
+        known.last_announced = previous.max(last_announced);
+        let silent = now.saturating_sub(known.last_announced) > self.timeout;
         if !same || known.silent != silent {
-            known.changed = count;
+            known.entry_change = count;
         }
         if !same || direct {
-            known.touched = count;
+            known.store_change = count;
         }
         known.silent = silent;
         if !departed {
-            self.settle(address, &name);
+            self.assign_address(address, &name);
         }
         true
     }
 
-    /// Whether a later endpoint holds the record's address: the record's own has ended then.
-    fn outlived(&self, record: &Record) -> bool {
+    /// Whether a later endpoint owns the record's address, so that the record's endpoint has ended.
+    fn superseded(&self, record: &Record) -> bool {
         let own = &record.announcement;
-        let holder = self
+        let owner = self
             .addresses
             .get(&own.address)
             .filter(|name| **name != own.name)
             .and_then(|name| self.endpoints.get(name));
-        holder.is_some_and(|holder| {
-            let other = &holder.announcement;
+        owner.is_some_and(|owner| {
+            let other = &owner.announcement;
             let later = (other.incarnation, &other.name) > (own.incarnation, &own.name);
             other.address == own.address && later
         })
     }
 
-    /// Gives an address to its new holder; the one before has ended.
-    fn settle(&mut self, address: SocketAddrV4, name: &str) {
+    /// Assigns an address to its new owner, and marks the previous owner as departed.
+    fn assign_address(&mut self, address: SocketAddrV4, name: &str) {
         let former = self.addresses.insert(address, name.into());
         let former = former.filter(|former| **former != *name);
         let Some(known) = former.and_then(|former| self.endpoints.get_mut(&former)) else {
@@ -235,14 +238,14 @@
         if known.announcement.address == address && !known.departed {
             self.count += 1;
             known.departed = true;
-            known.changed = self.count;
-            known.touched = self.count;
+            known.entry_change = self.count;
+            known.store_change = self.count;
         }
     }
 }
 
-/// Whether a record says nothing new but that the endpoint still runs.
-fn alike(known: &Known, record: &Record) -> bool {
+/// Whether a record only shows that the endpoint still runs.
+fn is_renewal(known: &Known, record: &Record) -> bool {
     let (old, new) = (&known.announcement, &record.announcement);
     let same = Announcement {
         sequence: old.sequence,
--- a/crates/announcements/tests/registry.rs
+++ b/crates/announcements/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: order, late reports, used addresses, silence.
+//! The registry: order of records, late reports, reused addresses and silence.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
     Record,
     Registry,
     State,
-    TOMBSTONE, //
+    TOMBSTONE_RETENTION, //
 };
 use rand::{
     Rng as _,
@@ -16,7 +16,7 @@
 };
 use rand_chacha::ChaCha8Rng;
 
-const PATIENCE: Duration = Duration::from_secs(3);
+const TIMEOUT: Duration = Duration::from_secs(3);
 
 fn at(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
@@ -54,7 +54,7 @@
 
 #[test]
 fn announce_late_report() {
-    let mut registry = Registry::new(PATIENCE);
+    let mut registry = Registry::new(TIMEOUT);
     assert!(registry.announce(at(1), draining("a", 5, 9)));
     assert!(!registry.announce(at(2), announcement("a", 5, 8)));
     assert_eq!(
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn announce_same_name_born_again() {
-    let mut registry = Registry::new(PATIENCE);
+fn announce_new_incarnation() {
+    let mut registry = Registry::new(TIMEOUT);
     registry.announce(at(1), announcement("a", 5, 900));
     registry.depart(at(2), "a", Some(5)).unwrap();
     assert!(registry.announce(at(3), announcement("a", 6, 1)));
@@ -76,7 +76,7 @@
 
 #[test]
 fn announce_after_departure() {
-    let mut registry = Registry::new(PATIENCE);
+    let mut registry = Registry::new(TIMEOUT);
     registry.announce(at(1), announcement("a", 5, 1));
     registry.depart(at(2), "a", None).unwrap();
     assert!(!registry.announce(at(3), announcement("a", 5, 7)));
@@ -85,19 +85,19 @@
 
 #[test]
 fn depart_earlier_incarnation() {
-    let mut registry = Registry::new(PATIENCE);
+    let mut registry = Registry::new(TIMEOUT);
     registry.announce(at(1), announcement("a", 6, 1));
     assert_eq!(registry.depart(at(2), "a", Some(5)), None);
     assert!(!registry.get("a").unwrap().departed);
 }
 
 #[test]
-fn announce_used_address() {
-    let mut registry = Registry::new(PATIENCE);
+fn announce_reused_address() {
+    let mut registry = Registry::new(TIMEOUT);
     registry.announce(at(1), announcement("a", 5, 1));
     registry.announce(at(9), announcement("b", 8, 1));
     assert!(registry.get("a").unwrap().departed);
-    // A report of the crashed one that a partition held back.
+    // A late report of the crashed endpoint, delayed by a network partition.
     registry.announce(at(10), announcement("a", 5, 2));
     assert!(registry.get("a").unwrap().departed);
     assert!(!registry.get("b").unwrap().departed);
@@ -105,7 +105,7 @@
 
 #[test]
 fn merge_late_report_of_unknown_endpoint() {
-    let mut registry = Registry::new(PATIENCE);
+    let mut registry = Registry::new(TIMEOUT);
     registry.announce(at(9), announcement("b", 8, 1));
     registry.merge(at(10), record(announcement("a", 5, 2), false));
     assert!(registry.get("a").unwrap().departed);
@@ -114,7 +114,7 @@
 
 #[test]
 fn tick_silent_endpoint() {
-    let mut registry = Registry::new(PATIENCE);
+    let mut registry = Registry::new(TIMEOUT);
     registry.announce(at(1), announcement("a", 5, 1));
     let seen = registry.count();
     registry.tick(at(5));
@@ -126,8 +126,8 @@
 }
 
 #[test]
-fn merge_proof_of_old_life() {
-    let mut registry = Registry::new(PATIENCE);
+fn merge_old_record() {
+    let mut registry = Registry::new(TIMEOUT);
     let mut old = record(announcement("a", 5, 4), false);
     old.age = 9_000;
     registry.merge(at(20), old);
@@ -135,8 +135,8 @@
 }
 
 #[test]
-fn touched_renewal_of_other_store() {
-    let mut registry = Registry::new(PATIENCE);
+fn touched_merged_renewal() {
+    let mut registry = Registry::new(TIMEOUT);
     registry.merge(at(1), record(announcement("a", 5, 1), false));
     let seen = registry.count();
     registry.merge(at(2), record(announcement("a", 5, 2), false));
@@ -147,16 +147,16 @@
 
 #[test]
 fn tick_old_departure() {
-    let mut registry = Registry::new(PATIENCE);
+    let mut registry = Registry::new(TIMEOUT);
     registry.announce(at(1), announcement("a", 5, 1));
     registry.depart(at(2), "a", None).unwrap();
-    registry.tick(at(2) + TOMBSTONE);
+    registry.tick(at(2) + TOMBSTONE_RETENTION);
     assert!(registry.get("a").is_some());
-    registry.tick(at(3) + TOMBSTONE);
+    registry.tick(at(3) + TOMBSTONE_RETENTION);
     assert!(registry.get("a").is_none());
 }
 
-/// Two stores that get the same records in two orders hold the same.
+/// Two stores that receive the same records in different orders converge to the same state.
 #[test]
 fn merge_any_order() {
     for seed in 0..500 {
@@ -165,7 +165,7 @@
             .map(|_| {
                 let name = ["a", "b", "c"][random.random_range(0..3)];
                 let number = random.random_range(1..4);
-                // An incarnation belongs to one name and keeps its address.
+                // Each incarnation has one name and one address.
                 let incarnation = number * 10 + u64::from(name.as_bytes()[0] - b'a');
                 let mut own = announcement(name, incarnation, random.random_range(1..6));
                 if own.sequence > 3 {
@@ -175,14 +175,14 @@
                 record(own, random.random_range(0..8) == 0)
             })
             .collect();
-        let mut stores = [Registry::new(PATIENCE), Registry::new(PATIENCE)];
+        let mut stores = [Registry::new(TIMEOUT), Registry::new(TIMEOUT)];
         for store in &mut stores {
             records.shuffle(&mut random);
             for record in &records {
                 store.merge(at(1), record.clone());
             }
         }
-        // They exchange what they hold, as stores do after a cut.
+        // The stores exchange their records, as they do after a network partition.
         for _ in 0..3 {
             let [one, two] = &mut stores;
             for record in one.touched(at(1), 0) {
