--- a/crates/replica/src/audit.rs
+++ b/crates/replica/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail as operators read it.
+//! The audit trail, as reported to operators.
 
 use store::{
     Audit,
@@ -11,7 +11,7 @@
 
 use crate::replica::Replica;
 
-/// The last lines of the audit trail, oldest first.
+/// The last records of the audit trail that match a query, oldest first.
 pub fn trail(replica: &Replica, query: &AuditQuery) -> Vec<AuditLine> {
     let count = usize::try_from(query.count).unwrap_or(usize::MAX);
     let section = query.section.as_ref();
@@ -22,7 +22,7 @@
     lines
 }
 
-/// An outcome as it is answered.
+/// Converts an outcome to its wire format.
 pub fn outcome(from: Outcome) -> wire::Outcome {
     match from {
         Outcome::Accepted { revision, version } => wire::Outcome::Accepted {
--- a/crates/replica/src/driver.rs
+++ b/crates/replica/src/driver.rs
@@ -1,4 +1,5 @@
-//! Runs a store's state machine: events in, records to the disk, then messages and answers out.
+//! Drives a store's state machine: handles events, writes records to disk, then sends messages and
+//! answers.
 
 use std::{
     cell::RefCell,
@@ -20,43 +21,43 @@
 
 use crate::replica::Replica;
 
-/// Pause before a failed write is tried again.
+/// Delay before a failed write is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// One write of the disk.
+/// A write to the data folder.
 #[derive(Debug)]
 enum Write {
     Append(Vec<Record>),
     Replace(Box<Saved>),
 }
 
-/// What a store's driver needs of the process that it runs in.
+/// Interface of the driver to its process.
 pub trait Surroundings {
-    /// Called after events were handled and before anything that follows from them leaves.
+    /// Called after events were handled and before the resulting actions are carried out.
     fn handled(&self);
 
     /// Time since the process started.
     fn now(&self) -> Duration;
 
-    /// The replica that is driven.
+    /// The replica to drive.
     fn replica(&self) -> &RefCell<Replica>;
 
-    /// Sends a message to the store at an inner address; it may be lost.
+    /// Sends a message to the store at an inner address, without guarantee of delivery.
     fn send(&self, to: SocketAddr, message: &Message);
 }
 
-/// Runs the store until the process ends.
-pub async fn run<S: Surroundings>(around: &S, mut folder: Folder) {
-    let replica = around.replica();
+/// Drives the replica until the process ends.
+pub async fn run<S: Surroundings>(env: &S, mut folder: Folder) {
+    let replica = env.replica();
     loop {
-        wait(around).await;
-        let actions = replica.borrow_mut().handle(around.now());
+        wait(env).await;
+        let actions = replica.borrow_mut().handle(env.now());
         let last = replica.borrow().raft().log().last();
-        around.handled();
+        env.handled();
         let (writes, others) = split(actions);
         let written = !writes.is_empty();
         for write in writes {
-            folder = match keep(replica, folder, write).await {
+            folder = match persist(replica, folder, write).await {
                 Some(folder) => folder,
                 None => return,
             };
@@ -70,7 +71,7 @@
                 Action::Send(message) => {
                     let address = replica.borrow().address(message.to);
                     if let Some(address) = address {
-                        around.send(address, &message);
+                        env.send(address, &message);
                     }
                 }
                 Action::Persist(_) | Action::Replace(_) => {}
@@ -79,7 +80,7 @@
     }
 }
 
-/// Parts the writes, which come first, from what may leave only after them.
+/// Separates the writes from the answers and messages, which may be sent only after them.
 fn split(actions: Vec<Action>) -> (Vec<Write>, Vec<Action>) {
     let mut writes = Vec::new();
     let mut others = Vec::new();
@@ -94,9 +95,13 @@
     (writes, others)
 }
 
-/// Writes and syncs on a thread of its own, again and again until it succeeds. Until then nothing
-/// of this store leaves the process. None if the runtime ends.
-async fn keep(replica: &RefCell<Replica>, mut folder: Folder, mut write: Write) -> Option<Folder> {
+/// Writes and syncs on a separate thread, and retries until this succeeds. Until then, the store
+/// sends no messages and no results. None if the runtime ends.
+async fn persist(
+    replica: &RefCell<Replica>,
+    mut folder: Folder,
+    mut write: Write,
+) -> Option<Folder> {
     loop {
         let task = compio::runtime::spawn_blocking(move || {
             let result = match &write {
@@ -130,14 +135,14 @@
 }
 
 /// Waits until an event is queued or a tick is due.
-async fn wait<S: Surroundings>(around: &S) {
-    let replica = around.replica();
+async fn wait<S: Surroundings>(env: &S) {
+    let replica = env.replica();
     let wake = replica.borrow().wake();
     loop {
         let listener = wake.listen();
-        let due = replica.borrow().raft().due();
-        let now = around.now();
-        if due <= now || replica.borrow().waits() {
+        let due = replica.borrow().raft().next_tick();
+        let now = env.now();
+        if due <= now || replica.borrow().has_events() {
             return;
         }
         let _notified = compio::time::timeout(due.saturating_sub(now), listener).await;
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,19 +1,19 @@
-//! One store's replica of the log: the events that wait for it, its disk and its answers.
+//! A store's replica of the log: its event queue, its disk writes and its pending requests.
 
+mod audit;
 mod driver;
 mod members;
 mod replica;
-mod trail;
 
 pub use crate::{
+    audit::{
+        outcome,
+        trail, //
+    },
     driver::{
         Surroundings,
         run, //
     },
     members::members,
     replica::Replica,
-    trail::{
-        outcome,
-        trail, //
-    },
 };
--- a/crates/replica/src/members.rs
+++ b/crates/replica/src/members.rs
@@ -1,4 +1,4 @@
-//! The group as operators see it.
+//! The cluster's members, as reported to operators.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::replica::Replica;
 
-/// The stores as this one knows them.
+/// The members as known to this store.
 pub fn members(replica: &Replica, now: Duration) -> LogMembers {
     let raft = replica.raft();
     let leader = raft.leader(now);
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -1,4 +1,4 @@
-//! This instance's replica of the configuration.
+//! This instance's replica of the log.
 
 use std::{
     collections::{
@@ -31,17 +31,17 @@
     Token, //
 };
 
-/// Most messages of other stores that wait to be handled.
+/// Queue length from which on messages of other stores are dropped.
 const QUEUED_MESSAGES: usize = 1024;
 
-/// The state machine of this store's part in the log, with the events that wait for it.
+/// The state machine of this store, with its event queue and pending requests.
 #[derive(Debug)]
 pub struct Replica {
     answers: BTreeMap<Token, oneshot::Sender<Answer>>,
-    /// Why nothing can be written at present.
+    /// Reason why nothing can be written at present.
     blocked: Option<Code>,
-    /// Inner addresses of stores that sent a message.
-    heard: BTreeMap<StoreId, SocketAddr>,
+    /// Inner addresses of the stores that sent messages.
+    inner_addresses: BTreeMap<StoreId, SocketAddr>,
     queue: VecDeque<Event>,
     raft: Raft,
     tokens: u64,
@@ -49,13 +49,13 @@
 }
 
 impl Replica {
-    /// Opens the data folder, or makes one with the id `fresh`; the folder goes to the driver.
+    /// Opens the data folder, or creates one with the id `new_id`. The folder is for the driver.
     ///
     /// # Errors
     ///
-    /// Any failure of the data folder.
-    pub fn open(path: &Path, fresh: StoreId, timing: Timing) -> Result<(Self, Folder), Error> {
-        let (folder, saved) = Folder::open(path, fresh)?;
+    /// Any error of the data folder.
+    pub fn open(path: &Path, new_id: StoreId, timing: Timing) -> Result<(Self, Folder), Error> {
+        let (folder, saved) = Folder::open(path, new_id)?;
         let random = ChaCha8Rng::seed_from_u64(rand::random());
         let raft = Raft::new(folder.id(), saved, timing, random).ok_or_else(|| Error::Damaged {
             offset: 0,
@@ -64,7 +64,7 @@
         let replica = Self {
             answers: BTreeMap::new(),
             blocked: None,
-            heard: BTreeMap::new(),
+            inner_addresses: BTreeMap::new(),
             queue: VecDeque::new(),
             raft,
             tokens: 0,
@@ -73,22 +73,23 @@
         Ok((replica, folder))
     }
 
-    /// Where a store is reached.
+    /// Inner address of a store, as a member or else from its last message.
     pub fn address(&self, id: StoreId) -> Option<SocketAddr> {
         let member = self.raft.members().get(id);
-        let known = member.map(|member| member.address);
-        known.or_else(|| self.heard.get(&id).copied())
+        let configured = member.map(|member| member.address);
+        configured.or_else(|| self.inner_addresses.get(&id).copied())
     }
 
     /// Answers a request.
     pub fn answer(&mut self, token: Token, answer: Answer) {
         if let Some(sender) = self.answers.remove(&token) {
-            // The asker may have given up.
-            let _gone = sender.send(answer);
+            // The client may have given up.
+            let _closed = sender.send(answer);
         }
     }
 
-    /// Refuses all requests, because nothing can be written at present.
+    /// Refuses all queued and pending requests, and new ones until [`Replica::unblock`], because
+    /// nothing can be written at present.
     pub fn block(&mut self, code: Code) {
         self.blocked = Some(code);
         for event in mem::take(&mut self.queue) {
@@ -106,40 +107,41 @@
                 | Event::Message(_)
                 | Event::Synced(_)
                 | Event::Tick => {}
-                // Said once a connection, and nothing is written for it.
+                // Kept, because it is sent only once per connection and needs no write.
                 Event::Locate(..) => self.queue.push_back(event),
             }
         }
         for (_, sender) in mem::take(&mut self.answers) {
             let advice = "the store's disk failed while the entry was written";
             let answer = Answer::Refused(Code::EditUnknown, advice.into());
-            let _gone = sender.send(answer);
+            let _closed = sender.send(answer);
         }
     }
 
-    /// Takes requests again.
+    /// Accepts requests again.
     pub fn unblock(&mut self) {
         self.blocked = None;
     }
 
-    /// Whether the store was in contact with a quorum within the last election timeout.
+    /// Whether the store, within the last election timeout, had contact with a quorum as the
+    /// leader, or otherwise with a leader.
     pub fn confirmed(&self, now: Duration) -> bool {
         self.raft.confirmed(now)
     }
 
-    /// Handles all waiting events, and a tick if one is due.
+    /// Handles all queued events, and a tick if one is due.
     pub fn handle(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         for event in mem::take(&mut self.queue) {
             actions.extend(self.raft.handle(now, event));
         }
-        if self.raft.due() <= now {
+        if self.raft.next_tick() <= now {
             actions.extend(self.raft.handle(now, Event::Tick));
         }
         actions
     }
 
-    /// The state that the committed edits made: audit trail, history and sections.
+    /// The state after the applied entries: audit trail, history and sections.
     pub const fn ledger(&self) -> &Ledger {
         self.raft.ledger()
     }
@@ -155,15 +157,16 @@
         self.wake.notify(usize::MAX);
     }
 
-    /// Queues a message of the store at `address`; it is lost if too many wait.
+    /// Queues a message from the store at `address`; drops it if the queue is full or nothing can
+    /// be written.
     pub fn receive(&mut self, address: SocketAddr, message: Message) {
-        self.heard.insert(message.from, address);
+        self.inner_addresses.insert(message.from, address);
         if self.queue.len() < QUEUED_MESSAGES && self.blocked.is_none() {
             self.push(Event::Message(message));
         }
     }
 
-    /// Queues a request; its answer comes through the channel.
+    /// Queues a request; the answer is sent through the returned channel.
     pub fn submit(&mut self, event: impl FnOnce(Token) -> Event) -> oneshot::Receiver<Answer> {
         let (sender, receiver) = oneshot::channel();
         self.tokens += 1;
@@ -179,7 +182,8 @@
         receiver
     }
 
-    /// Whether no document was ever decided; none unless this store leads and has the whole log.
+    /// Whether no edit was ever accepted. None if this is not known: only a leader with contact
+    /// with a quorum and all entries committed can tell that there was none.
     pub fn unused(&self, now: Duration) -> Option<bool> {
         let raft = &self.raft;
         match raft.ledger().revision().0 {
@@ -189,12 +193,12 @@
         }
     }
 
-    /// Whether an event waits.
-    pub fn waits(&self) -> bool {
+    /// Whether events are queued.
+    pub fn has_events(&self) -> bool {
         !self.queue.is_empty()
     }
 
-    /// Notified when an event is queued.
+    /// Event listener that is notified when an event is queued.
     pub fn wake(&self) -> Rc<Wake> {
         self.wake.clone()
     }
--- a/crates/store/benches/capacity.rs
+++ b/crates/store/benches/capacity.rs
@@ -1,4 +1,4 @@
-//! Processor time of an edit and memory of the ledger, by the number of sections.
+//! CPU time of an edit and memory of the ledger, by number of sections.
 
 #![allow(missing_docs, reason = "a benchmark has no public items")]
 
@@ -22,10 +22,10 @@
 /// Numbers of sections.
 const SIZES: [u32; 5] = [125, 250, 500, 1_000, 1_500];
 
-/// Services in a section.
-const SECTION: u32 = 10;
+/// Number of services in a section.
+const SECTION_SERVICES: u32 = 10;
 
-/// Edits that are timed at each size.
+/// Number of edits that are timed at each size.
 const EDITS: u32 = 50;
 
 fn main() {
@@ -44,7 +44,7 @@
         let nanos = start.elapsed().as_secs_f64() * 1e9 / f64::from(EDITS);
         Figure::new("ledger.edit", &format!("{size} sections"), nanos, "ns").print();
         times.push((f64::from(size), nanos));
-        // Memory that is freed is not given back at once, so it must not serve the next size.
+        // Freed memory is not returned to the system at once, so the next size must not reuse it.
         std::mem::forget(black_box(ledger));
     }
     let case = "by section of 10 services";
@@ -59,7 +59,7 @@
 
 fn edit(section: u32, version: u32) -> Edit {
     let mut text = format!("team = \"team-{section}\"\n");
-    for service in section * SECTION..(section + 1) * SECTION {
+    for service in section * SECTION_SERVICES..(section + 1) * SECTION_SERVICES {
         let [_, one, two, three] = service.to_be_bytes();
         text += &format!(
             "[[service]]\nname = \"service-{service}\"\nmode = \"flows\"\n\
--- a/crates/store/src/audit.rs
+++ b/crates/store/src/audit.rs
@@ -10,20 +10,20 @@
     version::Version, //
 };
 
-/// One line of the audit trail.
+/// One record of the audit trail.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Audit {
-    /// Who edited.
+    /// Author of the edit.
     pub author: Box<str>,
-    /// Version that the edit was made from.
+    /// Version of the section that the edit is based on.
     pub base: Version,
-    /// The edit's id; for a document that was published as a whole, a CRC-32C of its bytes.
+    /// Id of the edit; for a document that was published as a whole, the CRC-32C of its bytes.
     pub id: Box<str>,
-    /// What became of it.
+    /// Outcome of the edit.
     pub outcome: Outcome,
     /// Name of the section; [`DOCUMENT`](crate::DOCUMENT) for a whole document.
     pub section: Box<str>,
-    /// When it was received, in milliseconds since the Unix epoch.
+    /// Time of receipt, in milliseconds since the Unix epoch.
     pub time: u64,
 }
--- a/crates/store/src/edit.rs
+++ b/crates/store/src/edit.rs
@@ -7,15 +7,15 @@
 
 use crate::version::Version;
 
-/// An edit of one section, as the journal keeps it.
+/// An edit of one section, as stored in the log.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Edit {
-    /// Who edits.
+    /// Author of the edit.
     pub author: Box<str>,
-    /// Version of the section that the edit was made from.
+    /// Version of the section that the edit is based on.
     pub base: Version,
-    /// Identifies the edit, so that it can be resent.
+    /// Unique id of the edit; a resend with the same id is applied once only.
     pub id: Box<str>,
     /// Name of the section.
     pub section: Box<str>,
@@ -23,6 +23,6 @@
     pub team: Option<Box<str>>,
     /// Text of the section after the edit; empty to remove the section.
     pub text: Box<str>,
-    /// When the edit was received, in milliseconds since the Unix epoch.
+    /// Time of receipt, in milliseconds since the Unix epoch.
     pub time: u64,
 }
--- a/crates/store/src/election.rs
+++ b/crates/store/src/election.rs
@@ -21,25 +21,26 @@
 };
 
 impl Raft {
-    /// Begins an election, or steps down, when the time has come.
+    /// Handles a tick: the leader sends heartbeats or steps down; any other voter starts a pre-vote
+    /// once the election deadline has passed.
     pub(crate) fn tick(&mut self) {
         if self.leads() {
-            return self.beat();
+            return self.heartbeat();
         }
-        if self.now < self.deadline {
+        if self.now < self.election_deadline {
             return;
         }
-        self.stood = self.stood.saturating_add(1);
-        self.postpone();
-        if self.log.members().votes(self.id) {
-            self.canvass();
+        self.timeouts = self.timeouts.saturating_add(1);
+        self.reset_deadline();
+        if self.log.members().is_voter(self.id) {
+            self.start_pre_vote();
         }
     }
 
-    /// Asks whether votes would be given, so that a store that can't win raises no term.
-    pub(crate) fn canvass(&mut self) {
-        if self.alone() {
-            return self.campaign();
+    /// Starts a pre-vote, so that a store that cannot win an election does not raise the term.
+    pub(crate) fn start_pre_vote(&mut self) {
+        if self.is_sole_voter() {
+            return self.start_election();
         }
         self.leader = None;
         self.role = Role::PreCandidate(BTreeSet::from([self.id]));
@@ -47,26 +48,26 @@
             last: self.log.last(),
             proposed: self.ballot.term.next(),
         };
-        self.ask(&body);
+        self.send_to_voters(&body);
     }
 
-    /// Asks for votes in the next term.
-    pub(crate) fn campaign(&mut self) {
+    /// Starts an election in the next term.
+    pub(crate) fn start_election(&mut self) {
         self.leader = None;
-        self.vote(self.ballot.term.next(), Some(self.id));
-        if self.alone() {
-            return self.lead();
+        self.set_ballot(self.ballot.term.next(), Some(self.id));
+        if self.is_sole_voter() {
+            return self.become_leader();
         }
         self.role = Role::Candidate(BTreeSet::from([self.id]));
-        self.ask(&Body::Vote {
+        self.send_to_voters(&Body::Vote {
             last: self.log.last(),
         });
     }
 
-    /// Follows in a term that is at least as high as the present one.
-    pub(crate) fn follow(&mut self, term: Term, leader: Option<StoreId>) {
+    /// Becomes a follower in a term that is at least as high as the current one.
+    pub(crate) fn become_follower(&mut self, term: Term, leader: Option<StoreId>) {
         if term > self.ballot.term {
-            self.vote(term, None);
+            self.set_ballot(term, None);
         }
         if let Role::Leader(former) = std::mem::replace(&mut self.role, Role::Follower) {
             for token in former.pending.into_values() {
@@ -75,74 +76,75 @@
             for (_, _, token) in former.reads {
                 self.refuse(token, Code::NoLeader, "the leader stepped down");
             }
-            self.postpone();
+            self.reset_deadline();
         }
         self.leader = leader;
     }
 
-    /// Answers a pre-vote.
-    pub(crate) fn pre_vote(&mut self, from: StoreId, last: Position, proposed: Term) {
-        let granted = proposed > self.ballot.term && !self.led() && self.electable(last);
-        if !granted && self.heard.is_none() && last < self.log.last() {
-            // The asker runs and can't win, but may vote: this store stands soon again.
-            self.stood = 0;
-            self.postpone();
+    /// Answers a pre-vote request.
+    pub(crate) fn handle_pre_vote(&mut self, from: StoreId, last: Position, proposed: Term) {
+        let granted = proposed > self.ballot.term && !self.has_leader() && self.is_up_to_date(last);
+        if !granted && self.last_contact.is_none() && last < self.log.last() {
+            // The sender's log is behind, so it cannot win but can vote for this store: retry soon.
+            self.timeouts = 0;
+            self.reset_deadline();
         }
         self.send(from, Body::PreVoted { granted, proposed });
     }
 
-    /// Counts a pre-vote.
-    pub(crate) fn pre_voted(&mut self, from: StoreId, granted: bool, proposed: Term) {
+    /// Counts a pre-vote response.
+    pub(crate) fn handle_pre_voted(&mut self, from: StoreId, granted: bool, proposed: Term) {
         match &mut self.role {
             Role::PreCandidate(votes) if granted && proposed == self.ballot.term.next() => {
                 votes.insert(from);
-                if self.log.members().quorum(|id| votes.contains(&id)) {
-                    self.campaign();
+                if self.log.members().is_quorum(|id| votes.contains(&id)) {
+                    self.start_election();
                 }
             }
             _ => {}
         }
     }
 
-    /// Answers the request for a vote in the present term.
-    pub(crate) fn voting(&mut self, from: StoreId, last: Position) {
+    /// Answers a vote request of the current term.
+    pub(crate) fn handle_vote(&mut self, from: StoreId, last: Position) {
         let free = self.ballot.vote.is_none_or(|vote| vote == from);
-        let granted = free && self.electable(last);
+        let granted = free && self.is_up_to_date(last);
         if granted {
             if self.ballot.vote.is_none() {
-                self.vote(self.ballot.term, Some(from));
+                self.set_ballot(self.ballot.term, Some(from));
             }
-            self.postpone();
+            self.reset_deadline();
         }
         self.send(from, Body::Voted { granted });
     }
 
-    /// Counts a vote of the present term.
-    pub(crate) fn voted(&mut self, from: StoreId, granted: bool) {
+    /// Counts a vote response of the current term.
+    pub(crate) fn handle_voted(&mut self, from: StoreId, granted: bool) {
         match &mut self.role {
             Role::Candidate(votes) if granted => {
                 votes.insert(from);
-                if self.log.members().quorum(|id| votes.contains(&id)) {
-                    self.lead();
+                if self.log.members().is_quorum(|id| votes.contains(&id)) {
+                    self.become_leader();
                 }
             }
             _ => {}
         }
     }
 
-    /// Whether a leader was heard, or leads with a quorum, within the election timeout.
-    pub(crate) fn led(&self) -> bool {
+    /// Whether there is a leader: another store that sent a message within the election timeout, or
+    /// this store with answers of a quorum within it.
+    pub(crate) fn has_leader(&self) -> bool {
         self.leader.is_some() && self.confirmed(self.now)
     }
 
-    /// Whether a candidate with that last entry holds all that this store acknowledged. A store
-    /// that was never initialised gives no vote.
-    fn electable(&self, last: Position) -> bool {
+    /// Whether a candidate's log is at least as up to date as this store's. A store that was never
+    /// initialised grants no vote.
+    fn is_up_to_date(&self, last: Position) -> bool {
         !self.log.members().0.is_empty() && last >= self.log.last()
     }
 
     /// Sends a message to all other voters.
-    fn ask(&mut self, body: &Body) {
+    fn send_to_voters(&mut self, body: &Body) {
         let voters = self.log.members().0.iter().filter(|member| member.voter);
         let others: Vec<_> = voters
             .map(|member| member.id)
@@ -153,25 +155,25 @@
         }
     }
 
-    /// Begins to lead.
-    fn lead(&mut self) {
+    /// Becomes the leader and appends a blank entry, which commits the entries of earlier terms.
+    fn become_leader(&mut self) {
         let synced = self.log.last().index;
-        let start = self.append(Payload::Blank);
+        let start_index = self.append(Payload::Blank);
         self.leader = Some(self.id);
         self.role = Role::Leader(Box::new(Leader {
-            beat: self.now,
+            next_heartbeat: self.now,
             peers: Default::default(),
             pending: Default::default(),
             reads: Vec::new(),
             round: 0,
-            start,
+            start_index,
             synced,
         }));
-        self.meet();
+        self.update_peers();
     }
 
-    /// Keeps one [`Peer`] for each other member.
-    pub(crate) fn meet(&mut self) {
+    /// Keeps one [`Peer`] for each other member, in step with the membership in effect.
+    pub(crate) fn update_peers(&mut self) {
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
@@ -180,12 +182,12 @@
         let next = self.log.last().index;
         for member in members.0.iter().filter(|member| member.id != self.id) {
             leader.peers.entry(member.id).or_insert(Peer {
-                contact: self.now,
+                last_contact: self.now,
                 matched: Default::default(),
                 next,
                 offset: 0,
                 round: 0,
-                told: Default::default(),
+                sent_commit: Default::default(),
                 waiting: false,
             });
         }
--- a/crates/store/src/entry.rs
+++ b/crates/store/src/entry.rs
@@ -1,4 +1,4 @@
-//! The log's entries.
+//! Log entries.
 
 use serde::{
     Deserialize,
@@ -12,36 +12,36 @@
     publication::Publication, //
 };
 
-/// What an entry does once it is committed.
+/// The command of an entry, applied once the entry is committed.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Payload {
-    /// Nothing; a new leader's first entry.
+    /// No command; the first entry of a new leader.
     Blank,
     /// Changes a section.
     Edit(Edit),
-    /// Names the stores; in effect as soon as a store has it.
+    /// Replaces the membership; in effect on each store as soon as it is appended there.
     Members(Members),
     /// Puts a document with its own version in force.
     Publish(Publication),
 }
 
-/// One entry.
+/// An entry of the log.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Entry {
-    /// What it does.
+    /// Command of the entry.
     pub payload: Payload,
-    /// Where it stands.
+    /// Term and index of the entry.
     pub position: Position,
 }
 
-/// Size of an entry without its texts, in bytes.
+/// Approximate size of an entry without its variable-length parts, in bytes.
 const ENTRY_BYTES: usize = 128;
 
 impl Entry {
-    /// The entry's approximate size, in bytes.
-    pub fn weight(&self) -> usize {
+    /// Approximate size of the entry, in bytes.
+    pub fn size(&self) -> usize {
         match &self.payload {
             Payload::Blank => ENTRY_BYTES,
             Payload::Edit(edit) => ENTRY_BYTES + edit.section.len() + edit.text.len(),
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with the data folder.
+//! Errors of the data folder.
 
 use std::{
     io,
@@ -8,48 +8,48 @@
 use codes::Code;
 use thiserror::Error as ThisError;
 
-/// A failure of the data folder.
+/// An error of the data folder.
 #[derive(Debug)]
 #[derive(ThisError)]
 pub enum Error {
     /// A record before the last one is damaged.
     #[error("{path:?} is damaged at byte {offset}", path = path)]
     Damaged {
-        /// Where the damaged record starts, in bytes.
+        /// Offset of the damaged record, in bytes.
         offset: u64,
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The system refused an operation on a file.
+    /// An operation on a file failed.
     #[error("{path:?}: {cause}", path = path)]
     Io {
-        /// What the system reported.
+        /// Cause reported by the operating system.
         cause: io::Error,
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
     /// Another process uses the data folder.
     #[error("{path:?} is used by another process", path = path)]
     Locked {
-        /// The lock file.
+        /// Path of the lock file.
         path: PathBuf,
     },
 }
 
 impl Error {
-    /// The numbered result code.
+    /// Result code of the error.
     pub fn code(&self) -> Code {
         match self {
             Self::Damaged { .. } => Code::StorageDamaged,
-            Self::Io { cause, .. } if full(cause) => Code::StorageFull,
+            Self::Io { cause, .. } if no_space(cause) => Code::StorageFull,
             Self::Io { .. } => Code::FileUnreadable,
             Self::Locked { .. } => Code::StorageLocked,
         }
     }
 }
 
-/// Whether the disk, the quota or the largest size of a file leaves no room.
-fn full(cause: &io::Error) -> bool {
+/// Whether a write failed because the disk is full, or the quota or file size limit is reached.
+fn no_space(cause: &io::Error) -> bool {
     matches!(
         cause.kind(),
         io::ErrorKind::FileTooLarge | io::ErrorKind::QuotaExceeded | io::ErrorKind::StorageFull
--- a/crates/store/src/event.rs
+++ b/crates/store/src/event.rs
@@ -1,4 +1,4 @@
-//! What the state machine is told, and what it asks for.
+//! Input and output of the state machine: events and actions.
 
 use codes::Code;
 
@@ -17,83 +17,83 @@
         Published, //
     },
     record::{
-        Encoded,
+        EncodedSnapshot,
         Record,
         Saved, //
     },
 };
 
-/// Names a request until it is answered.
+/// Identifies a pending request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Token(pub u64);
 
-/// A change of the members, by one store.
+/// A membership change of one store.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Change {
-    /// Adds a store: first as a learner, and as a voter once it has caught up.
+    /// Adds a store as a learner, which becomes a voter once it has caught up.
     Add(Member),
-    /// Removes the store with that name.
+    /// Removes the store with this name.
     Remove(Box<str>),
 }
 
-/// What the state machine is told.
+/// An input of the state machine.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Event {
-    /// An operator changes the members.
+    /// An operator changes the membership.
     Change(Change, Token),
     /// An operator edits a section.
     Edit(Edit, Token),
-    /// The first start of several stores at once; each is told of the same log and members.
+    /// Forms a cluster of several stores; each one gets the same cluster id and members.
     Found(ClusterId, Members),
-    /// The first start, with this store alone.
+    /// Forms a cluster with this store as its only member.
     Init(ClusterId, Member),
-    /// A store asks to be taken in; only the leader acts on it.
+    /// A store requests to join the cluster; only the leader acts on it.
     Join(Member),
-    /// A store, by its name, said in which data centre it stands.
+    /// Name of a store, and the data centre that it reported.
     Locate(Box<str>, Box<str>),
-    /// A message of another store.
+    /// A message from another store.
     Message(Message),
     /// An operator publishes a document with its own version.
     Publish(Publication, Token),
-    /// Someone reads and needs to know that nothing newer was acknowledged.
+    /// A linearizable read; it is answered once this store is confirmed as the leader.
     Read(Token),
-    /// All records up to the one of that entry are on disk.
+    /// All records up to the one of this entry are on disk.
     Synced(Position),
-    /// Time has passed.
+    /// The time of [`Raft::next_tick`](crate::Raft::next_tick) has come.
     Tick,
 }
 
 /// The answer to a request.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Answer {
-    /// The change of the members is committed.
+    /// The membership change is committed.
     Changed,
-    /// The ledger holds all that was acknowledged before the read began.
+    /// The ledger holds everything that was acknowledged before the read started.
     Current,
-    /// What became of the edit.
+    /// Outcome of the edit.
     Outcome(Outcome),
-    /// What became of the publication.
+    /// Result of the publication.
     Published(Published),
-    /// Why there is no outcome; the code says whether there may be one yet.
+    /// The request has no outcome; the code tells whether it may still take effect.
     Refused(Code, Box<str>),
 }
 
-/// What is to be done, in this order.
+/// An output of the state machine; actions are carried out in the order returned.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Action {
     /// Answer a request.
     Answer(Token, Answer),
-    /// Add a record to the log's file; synced before any later action leaves the process.
+    /// Append a record to the log file; synced before any message or answer is sent.
     Persist(Record),
-    /// Replace all files; synced before any later action leaves the process.
+    /// Replace all files; synced before any message or answer is sent.
     Replace(Box<Saved>),
     /// Send a message to another store.
     Send(Message),
 }
 
 impl Action {
-    /// Replaces all files by a snapshot and what follows it.
-    pub(crate) fn replace(saved: &Saved, snapshot: Encoded) -> Self {
+    /// Replaces all files by a snapshot and the entries after it.
+    pub(crate) fn replace(saved: &Saved, snapshot: EncodedSnapshot) -> Self {
         Self::Replace(Box::new(Saved {
             snapshot: Some(snapshot),
             ..saved.clone()
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -1,4 +1,4 @@
-//! Files of one frame, which are replaced whole.
+//! Files of a single frame, which are replaced atomically.
 
 use std::{
     fs::{
@@ -22,19 +22,19 @@
     frame::Frame, //
 };
 
-/// What each file starts with; the last byte is the format's version.
+/// Magic number at the start of each file; the last byte is the format version.
 pub(crate) const HEADER: &[u8; 8] = b"mmshsto\x02";
 
-/// Reads a file of one frame; none if there is no such file.
+/// Reads a file of a single frame; none if the file does not exist.
 ///
 /// # Errors
 ///
-/// [`Error::Damaged`] if the file is no whole frame of that type, [`Error::Io`] otherwise.
+/// [`Error::Damaged`] if the file is not one whole frame of type `T`, [`Error::Io`] otherwise.
 pub fn read<T: DeserializeOwned>(path: &Path) -> Result<Option<T>, Error> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
         Err(cause) if cause.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(cause) => return Err(failure(path, cause)),
+        Err(cause) => return Err(io_error(path, cause)),
     };
     let frame = bytes.strip_prefix(HEADER).ok_or_else(|| damaged(path, 0))?;
     match Frame::read(frame) {
@@ -47,24 +47,25 @@
     }
 }
 
-/// Writes a file of one frame aside, syncs it and puts it in place; returns its length, in bytes.
+/// Writes a single frame to a temporary file, syncs it and renames it into place; returns the
+/// file's length, in bytes.
 ///
 /// # Errors
 ///
-/// [`Error::Io`]; what was there before stays, or the new file is in place.
+/// [`Error::Io`]; the file then has either its old or its new content.
 pub fn write<T: Serialize>(folder: &Path, name: &str, value: &T) -> Result<u64, Error> {
     let path = folder.join(name);
-    let aside = folder.join(format!("{name}.new"));
-    let frame = encode(value).map_err(|cause| failure(&path, cause))?;
-    let written = File::create(&aside)
+    let temporary = folder.join(format!("{name}.new"));
+    let frame = encode(value).map_err(|cause| io_error(&path, cause))?;
+    let written = File::create(&temporary)
         .and_then(|mut file| {
             file.write_all(HEADER)?;
             file.write_all(&frame)?;
             file.sync_all()
         })
-        .and_then(|()| fs::rename(&aside, &path))
+        .and_then(|()| fs::rename(&temporary, &path))
         .and_then(|()| File::open(folder)?.sync_all());
-    written.map_err(|cause| failure(&path, cause))?;
+    written.map_err(|cause| io_error(&path, cause))?;
     Ok(size(HEADER) + size(&frame))
 }
 
@@ -80,7 +81,7 @@
     Frame::write(&payload)
 }
 
-pub(crate) fn failure(path: &Path, cause: io::Error) -> Error {
+pub(crate) fn io_error(path: &Path, cause: io::Error) -> Error {
     Error::Io {
         cause,
         path: path.into(),
--- a/crates/store/src/fingerprint.rs
+++ b/crates/store/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The state of a store without its times, for exhaustive exploration.
+//! Hash of a store's state without its times, for model checking.
 
 use std::hash::{
     Hash,
@@ -11,8 +11,9 @@
 };
 
 impl Raft {
-    /// Hashes all that decides what the store does, but for times and random numbers. Of the
-    /// times only counts whether a leader was heard within the election timeout.
+    /// Hashes the state that determines the store's behaviour, except for times and random
+    /// numbers. Of the times, only whether the store had contact with a leader or quorum within the
+    /// election timeout is included.
     pub fn fingerprint<H: Hasher>(&self, hasher: &mut H) {
         let Self {
             applied,
@@ -21,7 +22,7 @@
             cluster,
             commit,
             id,
-            incoming,
+            incoming_snapshot,
             leader,
             ledger,
             log,
@@ -30,7 +31,14 @@
             ..
         } = self;
         (
-            applied, ballot, centres, cluster, commit, id, incoming, leader,
+            applied,
+            ballot,
+            centres,
+            cluster,
+            commit,
+            id,
+            incoming_snapshot,
+            leader,
         )
             .hash(hasher);
         (log, snapshot, ledger.revision(), ledger.audit().len()).hash(hasher);
@@ -39,9 +47,9 @@
             Role::Candidate(votes) => (0, votes).hash(hasher),
             Role::Follower => 1.hash(hasher),
             Role::Leader(leader) => {
-                (2, leader.start, leader.synced, &leader.pending).hash(hasher);
+                (2, leader.start_index, leader.synced, &leader.pending).hash(hasher);
                 for (id, peer) in &leader.peers {
-                    let progress = (peer.matched, peer.next, peer.offset, peer.told);
+                    let progress = (peer.matched, peer.next, peer.offset, peer.sent_commit);
                     (id, progress, peer.waiting).hash(hasher);
                 }
             }
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -4,7 +4,7 @@
 //! |---|---|
 //! | `lock` | nothing; locked while a process uses the folder |
 //! | `log` | header, then one frame for each list of [`Record`]s that was synced at once |
-//! | `snapshot` | header, then one frame with an [`Encoded`] snapshot |
+//! | `snapshot` | header, then one frame with an [`EncodedSnapshot`] snapshot |
 //! | `store` | header, then one frame with the folder's [`StoreId`] |
 
 use std::{
@@ -32,7 +32,7 @@
         HEADER,
         damaged,
         encode,
-        failure,
+        io_error,
         read,
         size,
         write, //
@@ -40,47 +40,47 @@
     frame::Frame,
     id::StoreId,
     record::{
-        Encoded,
+        EncodedSnapshot,
         Record,
         Saved, //
     },
 };
 
-/// A data folder that this process uses.
+/// An open and locked data folder.
 #[derive(Debug)]
 pub struct Folder {
-    /// Length of the log's file up to the last synced frame, in bytes.
+    /// Length of the log file up to the last synced frame, in bytes.
     end: u64,
     id: StoreId,
-    /// Held for as long as the folder is used.
+    /// Keeps the folder locked while it is open.
     _lock: File,
     log: File,
     path: PathBuf,
 }
 
 impl Folder {
-    /// Opens a data folder, or makes one with the id `fresh` if there is none.
+    /// Opens a data folder, or creates one with the id `new_id` if there is none.
     ///
-    /// A last frame of the log that was not written whole is cut off: it was never acknowledged.
+    /// An incomplete last frame of the log is truncated: its records were never acknowledged.
     ///
     /// # Errors
     ///
     /// [`Error::Locked`] if another process uses the folder, [`Error::Damaged`] if a file is
     /// missing or damaged, [`Error::Io`] otherwise.
-    pub fn open(path: &Path, fresh: StoreId) -> Result<(Self, Saved), Error> {
-        fs::create_dir_all(path).map_err(|cause| failure(path, cause))?;
+    pub fn open(path: &Path, new_id: StoreId) -> Result<(Self, Saved), Error> {
+        fs::create_dir_all(path).map_err(|cause| io_error(path, cause))?;
         let lock = lock(path)?;
-        let file = path.join("log");
+        let log_path = path.join("log");
         let id = match read::<StoreId>(&path.join("store"))? {
             Some(id) => id,
-            None => create(path, fresh)?,
+            None => create(path, new_id)?,
         };
-        let (saved, end) = load(path, &file)?;
+        let (saved, end) = load(path, &log_path)?;
         let mut log = OpenOptions::new()
             .write(true)
-            .open(&file)
-            .map_err(|cause| failure(&file, cause))?;
-        cut(&mut log, end).map_err(|cause| failure(&file, cause))?;
+            .open(&log_path)
+            .map_err(|cause| io_error(&log_path, cause))?;
+        truncate(&mut log, end).map_err(|cause| io_error(&log_path, cause))?;
         let folder = Self {
             end,
             id,
@@ -91,29 +91,28 @@
         Ok((folder, saved))
     }
 
-    /// Adds records and syncs them. After a failure the same records may be tried again.
+    /// Appends records and syncs them. After an error, the same records may be appended again.
     ///
     /// # Errors
     ///
-    /// [`Error::Io`]; the records may or may not be found when the folder is opened again.
+    /// [`Error::Io`]; the records may or may not be there when the folder is opened again.
     pub fn append(&mut self, records: &[Record]) -> Result<(), Error> {
         let path = self.path.join("log");
-        let frame = encode(&records).map_err(|cause| failure(&path, cause))?;
+        let frame = encode(&records).map_err(|cause| io_error(&path, cause))?;
         let log = &mut self.log;
-        cut(log, self.end)
+        truncate(log, self.end)
             .and_then(|()| log.write_all(&frame))
             .and_then(|()| log.sync_data())
-            .map_err(|cause| failure(&path, cause))?;
+            .map_err(|cause| io_error(&path, cause))?;
         self.end += size(&frame);
         Ok(())
     }
 
-    /// Puts a snapshot and the records after it in place of all that is held.
+    /// Replaces the content by a snapshot and the records after it.
     ///
     /// # Errors
     ///
-    /// [`Error::Io`]; what was held before is found when the folder is opened again, or the new
-    /// snapshot.
+    /// [`Error::Io`]; when opened again, the folder has either its old content or the new snapshot.
     pub fn replace(&mut self, saved: &Saved) -> Result<(), Error> {
         if let Some(snapshot) = &saved.snapshot {
             write(&self.path, "snapshot", snapshot)?;
@@ -121,17 +120,18 @@
         self.end = write(&self.path, "log", &saved.records())?;
         let path = self.path.join("log");
         let opened = OpenOptions::new().write(true).open(&path);
-        self.log = opened.map_err(|cause| failure(&path, cause))?;
+        self.log = opened.map_err(|cause| io_error(&path, cause))?;
         Ok(())
     }
 
-    /// The folder's id.
+    /// Id of the store that the folder belongs to.
     pub const fn id(&self) -> StoreId {
         self.id
     }
 }
 
-/// Makes the files of a new folder; the id comes last.
+/// Creates the files of a new folder. The id is written last: without
+/// it, the folder is created again.
 fn create(path: &Path, id: StoreId) -> Result<StoreId, Error> {
     let log = path.join("log");
     let used = match log.exists() {
@@ -146,18 +146,18 @@
     Ok(id)
 }
 
-/// Cuts a file and goes to its end.
-fn cut(file: &mut File, end: u64) -> io::Result<()> {
+/// Truncates a file and seeks to its end.
+fn truncate(file: &mut File, end: u64) -> io::Result<()> {
     file.set_len(end)?;
     file.seek(SeekFrom::Start(end)).map(|_| ())
 }
 
-/// Reads snapshot and log; returns what they hold and the offset behind the log's last frame.
+/// Loads snapshot and log. Returns their content and the end offset of the log's last whole frame.
 fn load(folder: &Path, path: &Path) -> Result<(Saved, u64), Error> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
         Err(cause) if cause.kind() == io::ErrorKind::NotFound => return Err(damaged(path, 0)),
-        Err(cause) => return Err(failure(path, cause)),
+        Err(cause) => return Err(io_error(path, cause)),
     };
     let mut saved = Saved {
         snapshot: read(&folder.join("snapshot"))?,
@@ -184,32 +184,32 @@
     if base > saved.snapshot.as_ref().map(|snapshot| snapshot.position) {
         return Err(damaged(&folder.join("snapshot"), 0));
     }
-    settle(&mut saved);
+    discard_covered(&mut saved);
     let end = bytes.len() - rest.len();
     Ok((saved, u64::try_from(end).unwrap_or(u64::MAX)))
 }
 
 fn lock(folder: &Path) -> Result<File, Error> {
     let path = folder.join("lock");
-    let file = File::create(&path).map_err(|cause| failure(&path, cause))?;
+    let file = File::create(&path).map_err(|cause| io_error(&path, cause))?;
     match file.try_lock() {
         Ok(()) => Ok(file),
-        Err(TryLockError::Error(cause)) => Err(failure(&path, cause)),
+        Err(TryLockError::Error(cause)) => Err(io_error(&path, cause)),
         Err(TryLockError::WouldBlock) => Err(Error::Locked { path }),
     }
 }
 
-/// Drops the entries that the snapshot holds, and those that it contradicts.
-fn settle(saved: &mut Saved) {
-    let Some(Encoded { position, .. }) = saved.snapshot else {
+/// Drops the entries that the snapshot covers, and all entries if they do not continue it.
+fn discard_covered(saved: &mut Saved) {
+    let Some(EncodedSnapshot { position, .. }) = saved.snapshot else {
         return;
     };
     let entries = &mut saved.entries;
-    let held = |entry: &crate::entry::Entry| entry.position == position;
+    let covered = |entry: &crate::entry::Entry| entry.position == position;
     let follows = entries
         .first()
         .is_some_and(|entry| entry.position.index == position.index.next());
-    if !follows && !entries.iter().any(held) {
+    if !follows && !entries.iter().any(covered) {
         entries.clear();
     }
     entries.retain(|entry| entry.position.index > position.index);
--- a/crates/store/src/follower.rs
+++ b/crates/store/src/follower.rs
@@ -1,4 +1,4 @@
-//! The followers' side of replication.
+//! Replication on the followers' side.
 
 use crate::{
     entry::Entry,
@@ -11,14 +11,14 @@
         Position, //
     },
     raft::Raft,
-    record::Encoded,
+    record::EncodedSnapshot,
     role::Role,
     snapshot::Snapshot, //
 };
 
 impl Raft {
-    /// Takes a leader's entries.
-    pub(crate) fn accept(
+    /// Appends a leader's entries to the log.
+    pub(crate) fn handle_append(
         &mut self,
         from: StoreId,
         previous: Position,
@@ -26,27 +26,27 @@
         commit: Index,
         round: u64,
     ) {
-        self.hear(from);
+        self.accept_leader(from);
         self.leader_commit = self.leader_commit.max(commit);
         let covered = previous.index < self.log.base().index;
         if !covered && self.log.term(previous.index) != Some(previous.term) {
-            let next = self.retry(previous.index);
+            let next = self.retry_index(previous.index);
             return self.send(from, Body::Rejected { next, round });
         }
         let mut matched = previous.index;
         for entry in entries {
             matched = entry.position.index;
-            let held = self.log.term(matched) == Some(entry.position.term);
-            if matched > self.log.base().index && !held {
-                self.store(entry);
+            let present = self.log.term(matched) == Some(entry.position.term);
+            if matched > self.log.base().index && !present {
+                self.persist_entry(entry);
             }
         }
         self.commit = self.commit.max(commit.min(matched));
         self.send(from, Body::Appended { matched, round });
     }
 
-    /// Takes a part of a leader's snapshot.
-    pub(crate) fn chunk(
+    /// Stores a chunk of a leader's snapshot, and installs the snapshot once it is complete.
+    pub(crate) fn handle_chunk(
         &mut self,
         from: StoreId,
         position: Position,
@@ -54,35 +54,38 @@
         bytes: &[u8],
         total: u64,
     ) {
-        self.hear(from);
+        self.accept_leader(from);
         if position.index <= self.commit {
             let matched = position.index;
             return self.send(from, Body::Appended { matched, round: 0 });
         }
-        let mut whole = match self.incoming.take() {
-            Some((other, held)) if other == position => held,
+        let mut buffer = match self.incoming_snapshot.take() {
+            Some((other, partial)) if other == position => partial,
             _ => Vec::new(),
         };
-        if u64::try_from(whole.len()) == Ok(offset) {
-            whole.extend_from_slice(bytes);
+        if u64::try_from(buffer.len()) == Ok(offset) {
+            buffer.extend_from_slice(bytes);
         }
-        let received = u64::try_from(whole.len()).unwrap_or(u64::MAX);
-        if received >= total && self.install(position, &whole) {
+        let received = u64::try_from(buffer.len()).unwrap_or(u64::MAX);
+        if received >= total && self.install_snapshot(position, &buffer) {
             let matched = position.index;
             return self.send(from, Body::Appended { matched, round: 0 });
         }
         if received < total {
-            self.incoming = Some((position, whole));
+            self.incoming_snapshot = Some((position, buffer));
             return self.send(from, Body::Taken { position, received });
         }
         let received = 0;
         self.send(from, Body::Taken { position, received });
     }
 
-    /// Puts a snapshot in place of the entries that it holds.
+    /// Replaces the applied entries by a snapshot once there are enough of them. The leader waits
+    /// up to twice as long for peers that still need these entries.
     pub(crate) fn compact(&mut self) {
-        let held = self.applied.0.saturating_sub(self.log.base().index.0);
-        if held < self.timing.snapshot || (held < 2 * self.timing.snapshot && self.lagged()) {
+        let entries = self.applied.0.saturating_sub(self.log.base().index.0);
+        if entries < self.timing.snapshot_entries
+            || (entries < 2 * self.timing.snapshot_entries && self.has_lagging_peer())
+        {
             return;
         }
         let Some(term) = self.log.term(self.applied) else {
@@ -97,17 +100,17 @@
         };
         if let Some(encoded) = snapshot.encode() {
             self.log.compact(position);
-            self.replace(encoded);
+            self.save_snapshot(encoded);
         }
     }
 
-    fn hear(&mut self, leader: StoreId) {
-        self.follow(self.ballot.term, Some(leader));
-        self.heard = Some(self.now);
-        self.postpone();
+    fn accept_leader(&mut self, leader: StoreId) {
+        self.become_follower(self.ballot.term, Some(leader));
+        self.last_contact = Some(self.now);
+        self.reset_deadline();
     }
 
-    fn install(&mut self, position: Position, bytes: &[u8]) -> bool {
+    fn install_snapshot(&mut self, position: Position, bytes: &[u8]) -> bool {
         let snapshot = match Snapshot::decode(bytes) {
             Some(snapshot) if snapshot.position == position => snapshot,
             _ => return false,
@@ -116,32 +119,33 @@
         self.commit = position.index;
         self.ledger = snapshot.ledger;
         self.log = Log::new(position, snapshot.members);
-        self.replace(Encoded {
+        self.save_snapshot(EncodedSnapshot {
             bytes: bytes.into(),
             position,
         });
         true
     }
 
-    /// Whether a member that answers has not yet got all that is applied.
-    fn lagged(&self) -> bool {
+    /// Whether a reachable peer still lacks applied entries.
+    fn has_lagging_peer(&self) -> bool {
         match &self.role {
             Role::Leader(leader) => leader.peers.values().any(|peer| {
-                let silence = self.now.saturating_sub(peer.contact);
-                silence < self.timing.election && peer.matched < self.applied
+                let silence = self.now.saturating_sub(peer.last_contact);
+                silence < self.timing.election_timeout && peer.matched < self.applied
             }),
             Role::Candidate(_) | Role::Follower | Role::PreCandidate(_) => false,
         }
     }
 
-    fn replace(&mut self, snapshot: Encoded) {
+    fn save_snapshot(&mut self, snapshot: EncodedSnapshot) {
         self.actions
             .push(Action::replace(&self.saved(), snapshot.clone()));
         self.snapshot = Some(snapshot);
     }
 
-    /// Where the leader may try next: past this log's end, or before its conflicting term.
-    fn retry(&self, index: Index) -> Index {
+    /// Index from which the leader retries: after this log's end, or at the start of the
+    /// conflicting term.
+    fn retry_index(&self, index: Index) -> Index {
         let last = self.log.last().index;
         if index > last {
             return last.next();
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,28 +1,28 @@
-//! Checksummed frames of the data folder's files.
+//! Checksummed frames, which the files of the data folder consist of.
 //!
-//! A frame is its payload's length (4 bytes, little endian), the CRC-32C of these 4 bytes, the
-//! CRC-32C of the payload, and the payload.
+//! A frame consists of the payload's length (4 bytes, little-endian), the CRC-32C of these 4 bytes,
+//! the CRC-32C of the payload (each 4 bytes, little-endian), and the payload.
 
 use std::io;
 
-/// Length and checksums before each payload, in bytes.
+/// Size of the length and checksums before each payload, in bytes.
 const PREFIX_BYTES: usize = 12;
 
-/// What stands at the start of some bytes.
+/// Result of parsing a frame at the start of a byte slice.
 #[derive(Debug)]
 pub(crate) enum Frame<'a> {
-    /// A frame that was written whole and was changed since.
+    /// A frame that was written completely and has been corrupted since.
     Damaged,
-    /// Nothing.
+    /// The slice is empty.
     End,
-    /// The beginning of a frame that was not written whole.
+    /// A frame that was not written completely.
     Torn,
-    /// A payload, and the bytes after its frame.
+    /// The payload of a valid frame, and the bytes after the frame.
     Whole(&'a [u8], &'a [u8]),
 }
 
 impl<'a> Frame<'a> {
-    /// Reads the frame at the start of some bytes.
+    /// Parses the frame at the start of a byte slice.
     pub(crate) fn read(bytes: &'a [u8]) -> Self {
         match Self::split(bytes) {
             _ if bytes.is_empty() => Self::End,
--- a/crates/store/src/id.rs
+++ b/crates/store/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of stores and of the log that they share.
+//! Ids of stores and clusters.
 
 use std::fmt::{
     Display,
@@ -11,14 +11,15 @@
     Serialize, //
 };
 
-/// Random number of a log, drawn at its first start; logs of two first starts never mix.
+/// Random id of a cluster, drawn when it is formed. Messages of other clusters are ignored,
+/// so that the logs of two clusters never mix.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct ClusterId(pub u64);
 
-/// Random number of a data folder, drawn when the folder is made.
+/// Random id of a store, drawn when its data folder is created.
 ///
-/// A store that lost its disk gets a new one, and so is none of the members any more.
+/// A store that lost its disk gets a new id, and is therefore no longer a member.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct StoreId(pub u64);
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The state that edits are applied to.
+//! The replicated document: the state that committed edits and publications are applied to.
 
 use std::collections::{
     BTreeMap,
@@ -30,45 +30,45 @@
     },
 };
 
-/// Edits whose outcome and line of the audit trail are kept.
+/// Number of edits whose outcome and audit record are kept.
 ///
-/// A resend of an older edit is refused: its base version is no longer in force.
+/// A resend of an older edit is refused, because its base version is no longer in force.
 pub const RETAINED_EDITS: usize = 20_000;
 
-/// What the audit trail calls a document that is published as a whole.
+/// Section name in the audit trail for a document that is published as a whole.
 pub const DOCUMENT: &str = "document";
 
-/// Versions of one section whose texts are kept, the one in force included.
+/// Number of versions kept of each section, including the one in force.
 pub const RETAINED_VERSIONS: usize = 32;
 
 /// A section in force, or the version at which it was removed.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Stored {
-    /// Its text; empty if it was removed.
+pub struct StoredSection {
+    /// Text of the section; empty if it was removed.
     pub text: Box<str>,
-    /// Its version.
+    /// Version of the section.
     pub version: Version,
 }
 
-/// The document as the accepted edits made it, with the answers that were given.
+/// The document that results from the accepted edits, with the outcome of each edit.
 ///
-/// The same edits applied in the same order give the same ledger on every store.
+/// Deterministic: the same edits applied in the same order give the same ledger on every store.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize, Serialize)]
 pub struct Ledger {
     audit: VecDeque<Audit>,
     #[serde(skip)]
     document: Document,
-    history: BTreeMap<Box<str>, VecDeque<Stored>>,
+    history: BTreeMap<Box<str>, VecDeque<StoredSection>>,
     outcomes: BTreeMap<Box<str>, Outcome>,
     published: Option<Publication>,
     revision: Revision,
-    sections: BTreeMap<Box<str>, Stored>,
+    sections: BTreeMap<Box<str>, StoredSection>,
 }
 
 impl Ledger {
-    /// Creates the ledger of a first start.
+    /// Creates an empty ledger.
     pub fn new() -> Self {
         Self::default()
     }
@@ -87,11 +87,11 @@
                 version,
             },
         };
-        self.record(edit, &outcome);
+        self.record_outcome(edit, &outcome);
         outcome
     }
 
-    /// The audit trail, oldest first: the last [`RETAINED_EDITS`] edits, refused ones too.
+    /// The audit trail, oldest first: the last [`RETAINED_EDITS`] edits, including refused ones.
     pub const fn audit(&self) -> &VecDeque<Audit> {
         &self.audit
     }
@@ -103,31 +103,30 @@
 
     /// The last [`RETAINED_VERSIONS`] versions of a section, oldest first; the last one is in
     /// force. A version with an empty text removed the section.
-    pub fn history(&self, section: &str) -> impl DoubleEndedIterator<Item = &Stored> {
+    pub fn history(&self, section: &str) -> impl DoubleEndedIterator<Item = &StoredSection> {
         self.history.get(section).into_iter().flatten()
     }
 
-    /// The outcome of the edit of that id, if there is one.
+    /// Outcome of the edit with this id, if it is known.
     pub fn outcome(&self, id: &str) -> Option<&Outcome> {
         self.outcomes.get(id)
     }
 
-    /// Puts a document with its operator's version in force, unless one is that is as high.
+    /// Puts a publication in force, unless the version in force is as high or higher.
     pub fn publish(&mut self, publication: &Publication) -> Published {
         let published = self.compare(publication).unwrap_or(Published::Accepted);
-        self.note(publication, published);
+        self.audit_publication(publication, published);
         if published == Published::Accepted {
             self.published = Some(publication.clone());
         }
         published
     }
 
-    /// What would become of a publication that changes nothing; none for one that would be
-    /// accepted.
+    /// The result of a publication that would change nothing; none if it would be accepted.
     pub fn compare(&self, publication: &Publication) -> Option<Published> {
         match &self.published {
             Some(held) if held.version > publication.version => Some(Published::Superseded),
-            Some(held) if held.same(publication) => Some(Published::Repeated),
+            Some(held) if held.same_document(publication) => Some(Published::Repeated),
             Some(held) if held.version == publication.version => Some(Published::Conflict),
             Some(_) | None => None,
         }
@@ -144,14 +143,14 @@
     }
 
     /// The sections in force, by name.
-    pub fn sections(&self) -> impl Iterator<Item = (&str, &Stored)> {
+    pub fn sections(&self) -> impl Iterator<Item = (&str, &StoredSection)> {
         self.sections
             .iter()
             .filter(|(_, stored)| !stored.text.is_empty())
             .map(|(name, stored)| (&**name, stored))
     }
 
-    /// Reads the document anew from the sections' texts.
+    /// Parses the document from the sections' texts, after a snapshot was decoded.
     pub(crate) fn rebuild(&mut self) {
         let sections = self.sections().filter_map(|(name, stored)| {
             let section = Section::parse(&Source::new(name, &stored.text)).ok()?;
@@ -165,7 +164,7 @@
         let version = self.version(&edit.section).next();
         self.document = document;
         self.revision = self.revision.next();
-        let stored = Stored {
+        let stored = StoredSection {
             text: edit.text.clone(),
             version,
         };
@@ -183,7 +182,7 @@
 
     fn check(&self, edit: &Edit) -> Result<Document, (Code, Box<str>)> {
         let owner = self.document.sections.get(&edit.section);
-        permit(edit, owner)?;
+        check_team(edit, owner)?;
         let version = self.version(&edit.section);
         if edit.base != version {
             let advice = format!(
@@ -199,7 +198,7 @@
             let source = Source::new(&edit.section, &edit.text);
             let section = Section::parse(&source)
                 .map_err(|error| (Code::EditInvalid, error.to_string().into()))?;
-            permit(edit, Some(&section))?;
+            check_team(edit, Some(&section))?;
             document.sections.insert(edit.section.clone(), section);
         }
         document
@@ -208,9 +207,9 @@
         Ok(document)
     }
 
-    fn record(&mut self, edit: &Edit, outcome: &Outcome) {
+    fn record_outcome(&mut self, edit: &Edit, outcome: &Outcome) {
         self.outcomes.insert(edit.id.clone(), outcome.clone());
-        self.trail(Audit {
+        self.push_audit(Audit {
             author: edit.author.clone(),
             base: edit.base,
             id: edit.id.clone(),
@@ -220,8 +219,8 @@
         });
     }
 
-    /// Adds a publication to the audit trail, unless it only repeats the one in force.
-    fn note(&mut self, publication: &Publication, published: Published) {
+    /// Adds a publication to the audit trail, unless it repeats the one in force.
+    fn audit_publication(&mut self, publication: &Publication, published: Published) {
         let held = self.published.as_ref().map_or(0, |held| held.version);
         let refused = |code: Code| Outcome::Refused {
             advice: code.meaning().into(),
@@ -237,7 +236,7 @@
             Published::Repeated => return,
             Published::Superseded => refused(Code::PublicationSuperseded),
         };
-        self.trail(Audit {
+        self.push_audit(Audit {
             author: publication.author.clone(),
             base: Version(held),
             id: format!("{:08x}", crc32c::crc32c(&publication.bytes)).into(),
@@ -247,8 +246,8 @@
         });
     }
 
-    fn trail(&mut self, line: Audit) {
-        self.audit.push_back(line);
+    fn push_audit(&mut self, record: Audit) {
+        self.audit.push_back(record);
         if self.audit.len() > RETAINED_EDITS
             && let Some(oldest) = self.audit.pop_front()
         {
@@ -263,8 +262,8 @@
     }
 }
 
-/// Refuses the edit of a section that another team owns.
-fn permit(edit: &Edit, section: Option<&Section>) -> Result<(), (Code, Box<str>)> {
+/// Refuses an edit of a section that belongs to another team.
+fn check_team(edit: &Edit, section: Option<&Section>) -> Result<(), (Code, Box<str>)> {
     match (&edit.team, section) {
         (Some(team), Some(section)) if *team != section.team => {
             let advice = format!(
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated configuration log.
+//! The replicated configuration log, based on Raft.
 //!
-//! [`Raft`] is the pure state machine of one store: election, replication, snapshots, members and
-//! the [`Ledger`] that the committed edits make. [`Folder`] keeps what it has to remember on disk.
-//! Between the two, and between the stores, a driver moves [`Action`]s and [`Event`]s.
+//! [`Raft`] is the state machine of one store and does no I/O: it handles elections, replication,
+//! snapshots and membership, and applies committed entries to the [`Ledger`]. [`Folder`] persists
+//! its state. A driver passes [`Event`]s to `Raft` and carries out the [`Action`]s that it returns.
 
 mod audit;
 mod edit;
@@ -13,7 +13,7 @@
 mod file;
 mod fingerprint;
 mod folder;
-mod following;
+mod follower;
 mod frame;
 mod id;
 mod ledger;
@@ -28,11 +28,11 @@
 mod record;
 mod replication;
 mod role;
-mod roster;
 mod snapshot;
 mod spread;
 mod timing;
 mod version;
+mod voters;
 
 pub use crate::{
     audit::Audit,
@@ -63,7 +63,7 @@
         Ledger,
         RETAINED_EDITS,
         RETAINED_VERSIONS,
-        Stored, //
+        StoredSection, //
     },
     log::Log,
     members::{
@@ -87,7 +87,7 @@
     raft::Raft,
     record::{
         Ballot,
-        Encoded,
+        EncodedSnapshot,
         Record,
         Saved, //
     },
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,4 +1,4 @@
-//! The entries in memory.
+//! The log entries in memory.
 
 use std::collections::VecDeque;
 
@@ -15,27 +15,27 @@
     },
 };
 
-/// Size of the entries of one message after which no further one is added, in bytes.
+/// Size of a message's entries, in bytes, from which on no further entry is added.
 const BATCH_BYTES: usize = 1024 * 1024;
 
-/// The entries after the snapshot, and the members that they name.
+/// The entries after the snapshot, and the memberships that they define.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Log {
     base: Position,
     entries: VecDeque<Entry>,
-    /// Members of the snapshot.
-    first: Members,
-    /// Members by the index of their entry; the last ones are in effect.
+    /// Members as of the snapshot.
+    initial_members: Members,
+    /// Memberships with the index of their entry; the last one is in effect.
     members: Vec<(Index, Members)>,
 }
 
 impl Log {
-    /// Creates the log that follows a snapshot.
+    /// Creates an empty log after a snapshot.
     pub fn new(base: Position, members: Members) -> Self {
         Self {
             base,
             entries: VecDeque::new(),
-            first: members,
+            initial_members: members,
             members: Vec::new(),
         }
     }
@@ -45,21 +45,21 @@
         self.base
     }
 
-    /// A batch of entries from an index on.
+    /// Entries from an index on, limited to the size of one message.
     pub fn batch(&self, from: Index) -> Vec<Entry> {
         let skipped = self.offset(from).unwrap_or(usize::MAX);
         let mut room = BATCH_BYTES;
         let entries = self.entries.iter().skip(skipped).take_while(|entry| {
             let taken = room > 0;
-            room = room.saturating_sub(entry.weight());
+            room = room.saturating_sub(entry.size());
             taken
         });
         entries.cloned().collect()
     }
 
-    /// Forgets the entries up to an index, which a snapshot holds.
+    /// Discards the entries up to a position, which a snapshot covers.
     pub fn compact(&mut self, position: Position) {
-        self.first = self.members_at(position.index).clone();
+        self.initial_members = self.members_at(position.index).clone();
         self.entries
             .retain(|entry| entry.position.index > position.index);
         self.members.retain(|(index, _)| *index > position.index);
@@ -90,20 +90,20 @@
 
     /// The members in effect at an index.
     pub fn members_at(&self, at: Index) -> &Members {
-        let mut known = self.members.iter().rev();
-        known
+        let mut changes = self.members.iter().rev();
+        changes
             .find(|(index, _)| *index <= at)
-            .map_or(&self.first, |(_, members)| members)
+            .map_or(&self.initial_members, |(_, members)| members)
     }
 
-    /// Index of the entry that names the members in effect.
+    /// Index of the entry that defines the membership in effect.
     pub fn members_index(&self) -> Index {
         self.members
             .last()
             .map_or(self.base.index, |(index, _)| *index)
     }
 
-    /// Adds an entry in place of all from its index on.
+    /// Appends an entry, and removes all entries from its index on before.
     pub fn push(&mut self, entry: Entry) {
         let index = entry.position.index;
         while self.last().index >= index && self.entries.pop_back().is_some() {}
--- a/crates/store/src/message.rs
+++ b/crates/store/src/message.rs
@@ -1,4 +1,4 @@
-//! What stores send to each other.
+//! Messages between stores.
 
 use serde::{
     Deserialize,
@@ -18,75 +18,75 @@
     },
 };
 
-/// What a message says.
+/// The body of a message.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Body {
-    /// The leader's entries after `previous`, and how far it knows them committed.
+    /// Appends entries, or serves as a heartbeat.
     Append {
-        /// Last entry that is known to be committed.
+        /// The leader's commit index.
         commit: Index,
-        /// The entries; none in a heartbeat.
+        /// Entries to append; empty in a heartbeat.
         entries: Vec<Entry>,
-        /// The entry before them.
+        /// Position of the entry before them.
         previous: Position,
-        /// The leader's latest round of heartbeats; the answer repeats it.
+        /// The leader's latest heartbeat round, which the response repeats.
         round: u64,
     },
-    /// The log equals the leader's up to an entry, on disk.
+    /// The follower's log on disk matches the leader's up to an entry.
     Appended {
-        /// That entry.
+        /// Index of this entry.
         matched: Index,
-        /// Round of the heartbeat that is answered.
+        /// Heartbeat round of the request.
         round: u64,
     },
-    /// A part of the leader's snapshot.
+    /// A chunk of the leader's snapshot.
     Chunk {
-        /// The part's bytes.
+        /// Content of the chunk.
         bytes: Vec<u8>,
-        /// Where they begin, in bytes.
+        /// Offset of the chunk in the snapshot, in bytes.
         offset: u64,
-        /// Last entry that the snapshot holds.
+        /// Last entry that the snapshot covers.
         position: Position,
         /// Length of the snapshot, in bytes.
         total: u64,
     },
-    /// Asks whether a vote would be given; changes nothing.
+    /// Requests a pre-vote: whether the vote would be granted. Changes no state.
     PreVote {
         /// The candidate's last entry.
         last: Position,
-        /// The term that the candidate would take.
+        /// Term of the election that the candidate would start.
         proposed: Term,
     },
-    /// Answers a pre-vote.
+    /// Response to a pre-vote request.
     PreVoted {
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
-        /// The term that was asked for.
+        /// The request's proposed term.
         proposed: Term,
     },
-    /// The log does not hold the entry before the leader's entries.
+    /// The follower's log lacks the entry before the leader's entries.
     Rejected {
-        /// Where the leader may try next.
+        /// Index from which the leader retries.
         next: Index,
-        /// Round of the heartbeat that is answered.
+        /// Heartbeat round of the request.
         round: u64,
     },
-    /// How much of a snapshot has arrived.
+    /// Response to a chunk that does not complete the snapshot.
     Taken {
-        /// Last entry that the snapshot holds.
+        /// Last entry that the snapshot covers.
         position: Position,
-        /// Length of what has arrived, in bytes.
+        /// Length of the snapshot received so far, in bytes.
         received: u64,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
         /// The candidate's last entry.
         last: Position,
     },
-    /// Answers a vote.
+    /// Response to a vote request.
     Voted {
-        /// Whether it was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
 }
@@ -95,27 +95,27 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Message {
-    /// What it says.
+    /// Body of the message.
     pub body: Body,
-    /// The log.
+    /// Cluster of the sender.
     pub cluster: ClusterId,
-    /// The sender.
+    /// Id of the sender.
     pub from: StoreId,
-    /// The sender's term.
+    /// Current term of the sender.
     pub term: Term,
-    /// The receiver; any other store passes it over.
+    /// Id of the receiver; any other store ignores the message.
     pub to: StoreId,
 }
 
 impl Message {
-    /// Decodes a received message; none if the bytes are not one whole message.
+    /// Decodes a message; none if the bytes are not one whole message.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // All parts have an encoding; an empty message is passed over by its receiver.
+        // Encoding cannot fail for these types; the receiver ignores an empty message.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 }
--- a/crates/store/src/outcome.rs
+++ b/crates/store/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of an edit.
+//! Outcomes of edits.
 
 use codes::Code;
 use serde::{
@@ -11,24 +11,24 @@
     Version, //
 };
 
-/// What became of an edit; a resend gets the same.
+/// Outcome of an edit; a resend of the edit gets the same one.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Outcome {
-    /// The section was changed.
+    /// The edit was applied.
     Accepted {
         /// Revision of the document after the edit.
         revision: Revision,
         /// Version of the section after the edit.
         version: Version,
     },
-    /// Nothing was changed.
+    /// The edit was refused and changed nothing.
     Refused {
-        /// What is wrong, and where.
+        /// Describes the fault and its location.
         advice: Box<str>,
-        /// Why.
+        /// Reason of the refusal.
         code: Code,
-        /// Version of the section in force.
+        /// Current version of the section.
         version: Version,
     },
 }
--- a/crates/store/src/position.rs
+++ b/crates/store/src/position.rs
@@ -1,11 +1,11 @@
-//! Places in the log.
+//! Terms, indexes and positions of log entries.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// Number of an entry; the first entry has number 1.
+/// Index of an entry; the first entry has index 1.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct Index(pub u64);
@@ -16,13 +16,13 @@
         Self(self.0.saturating_add(1))
     }
 
-    /// The index before this one; 0 stays 0.
+    /// The index before this one; 0 for 0.
     pub const fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
 
-/// Number of an election; there is at most one leader a term.
+/// Election term; a term has at most one leader.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct Term(pub u64);
@@ -34,12 +34,12 @@
     }
 }
 
-/// An entry's term and index; the greater one is the more recent.
+/// An entry's term and index; a log is as up to date as the position of its last entry is high.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct Position {
-    /// Term of the leader that made the entry.
+    /// Term of the leader that created the entry.
     pub term: Term,
-    /// Number of the entry.
+    /// Index of the entry.
     pub index: Index,
 }
--- a/crates/store/src/proposal.rs
+++ b/crates/store/src/proposal.rs
@@ -1,4 +1,4 @@
-//! Operators' requests at the leader.
+//! Client requests at the leader: edits, publications and membership changes.
 
 use codes::Code;
 
@@ -22,37 +22,37 @@
 };
 
 impl Raft {
-    /// Takes an edit, or refuses it at once.
-    pub(crate) fn edit(&mut self, edit: Edit, token: Token) {
+    /// Proposes an edit, or answers it at once if its outcome is known.
+    pub(crate) fn propose_edit(&mut self, edit: Edit, token: Token) {
         if let Some(outcome) = self.ledger.outcome(&edit.id) {
             return self.answer(token, Answer::Outcome(outcome.clone()));
         }
         self.propose(Payload::Edit(edit), token);
     }
 
-    /// Takes a change of the members, or refuses it at once.
-    pub(crate) fn change(&mut self, change: Change, token: Token) {
-        if !self.settled() {
+    /// Proposes a membership change, or refuses it if another one is in progress.
+    pub(crate) fn propose_change(&mut self, change: Change, token: Token) {
+        if !self.can_change_members() {
             let advice = "an earlier change of the members is not yet committed";
             return self.refuse(token, Code::MembersRefused, advice);
         }
-        match self.changed(change) {
+        match self.changed_members(change) {
             Ok(Some(members)) => self.propose(Payload::Members(members), token),
             Ok(None) => self.answer(token, Answer::Changed),
             Err(advice) => self.refuse(token, Code::MembersRefused, &advice),
         }
     }
 
-    /// Takes a publication; one that changes nothing is answered at once, since what the ledger
-    /// holds is committed.
-    pub(crate) fn publish(&mut self, publication: Publication, token: Token) {
+    /// Proposes a publication. One that changes nothing is answered at once: the ledger holds
+    /// committed state only.
+    pub(crate) fn propose_publication(&mut self, publication: Publication, token: Token) {
         match self.ledger.compare(&publication) {
             Some(known) => self.answer(token, Answer::Published(known)),
             None => self.propose(Payload::Publish(publication), token),
         }
     }
 
-    /// Makes a learner that has caught up a voter, where operators name the members.
+    /// Promotes a learner that has caught up to voter, unless the leader manages the voters.
     pub(crate) fn promote(&mut self, id: StoreId) {
         if self.timing.voters.is_some() {
             return;
@@ -61,32 +61,32 @@
             return;
         };
         let matched = leader.peers.get(&id).map(|peer| peer.matched);
-        let caught = matched.is_some_and(|matched| matched >= self.commit);
+        let caught_up = matched.is_some_and(|matched| matched >= self.commit);
         let members = self.log.members();
         let learner = members.get(id).is_some_and(|member| !member.voter);
-        if learner && caught && self.settled() {
+        if learner && caught_up && self.can_change_members() {
             let members = members.with_voter(id);
             self.append(Payload::Members(members));
         }
     }
 
-    /// Whether a change of the members may begin: the last one is committed, and so is an entry
-    /// of the leader's own term.
-    pub(crate) fn settled(&self) -> bool {
+    /// Whether a membership change may start: the previous one and an entry of the leader's own
+    /// term are committed.
+    pub(crate) fn can_change_members(&self) -> bool {
         match &self.role {
             Role::Leader(leader) => {
-                leader.start <= self.commit && self.log.members_index() <= self.commit
+                leader.start_index <= self.commit && self.log.members_index() <= self.commit
             }
             Role::Candidate(_) | Role::Follower | Role::PreCandidate(_) => true,
         }
     }
 
-    fn changed(&self, change: Change) -> Result<Option<Members>, Box<str>> {
+    fn changed_members(&self, change: Change) -> Result<Option<Members>, Box<str>> {
         let members = self.log.members();
         match change {
-            Change::Add(member) => added(members, member),
-            Change::Remove(name) => match members.named(&name) {
-                Some(member) => removed(members, member.id).map(Some),
+            Change::Add(member) => add_member(members, member),
+            Change::Remove(name) => match members.by_name(&name) {
+                Some(member) => remove_member(members, member.id).map(Some),
                 None => Err(format!("there is no member `{name}`").into()),
             },
         }
@@ -107,8 +107,8 @@
     }
 }
 
-fn added(members: &Members, member: Member) -> Result<Option<Members>, Box<str>> {
-    match members.named(&member.name) {
+fn add_member(members: &Members, member: Member) -> Result<Option<Members>, Box<str>> {
+    match members.by_name(&member.name) {
         Some(other) if other.id == member.id => Ok(None),
         Some(other) => Err(format!(
             "member `{}` has data folder {}, not {}; remove it first",
@@ -122,7 +122,7 @@
     }
 }
 
-pub(crate) fn removed(members: &Members, id: StoreId) -> Result<Members, Box<str>> {
+pub(crate) fn remove_member(members: &Members, id: StoreId) -> Result<Members, Box<str>> {
     let rest = members.without(id);
     match rest.0.iter().any(|member| member.voter) {
         true => Ok(rest),
--- a/crates/store/src/publication.rs
+++ b/crates/store/src/publication.rs
@@ -1,4 +1,4 @@
-//! A whole document that carries its operator's own version.
+//! Publication of whole documents with a version set by the operator.
 
 use std::sync::Arc;
 
@@ -7,22 +7,22 @@
     Serialize, //
 };
 
-/// A whole document that carries its operator's own version; the highest version is in force.
+/// A whole document with a version set by its operator; the highest version is in force.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Publication {
-    /// Who sent it.
+    /// Author of the publication.
     pub author: Box<str>,
-    /// The document as its operator sent it.
+    /// The document, byte for byte as published.
     pub bytes: Arc<[u8]>,
-    /// When it was received, in milliseconds since the Unix epoch.
+    /// Time of receipt, in milliseconds since the Unix epoch.
     pub time: u64,
-    /// The operator's version.
+    /// Version set by the operator.
     pub version: u64,
 }
 
 impl Publication {
-    /// Creates a publication of nobody in particular.
+    /// Creates a publication without an author.
     pub fn new(version: u64, bytes: &[u8]) -> Self {
         Self {
             author: Box::default(),
@@ -32,28 +32,28 @@
         }
     }
 
-    /// Sets who sent it, and when it was received, in milliseconds since the Unix epoch.
+    /// Sets the author, and the time of receipt, in milliseconds since the Unix epoch.
     pub fn with_author(mut self, author: &str, time: u64) -> Self {
         self.author = author.into();
         self.time = time;
         self
     }
 
-    /// Whether another one holds the same document, whoever sent it.
-    pub fn same(&self, other: &Self) -> bool {
+    /// Whether another publication has the same version and document, whatever its author and time.
+    pub fn same_document(&self, other: &Self) -> bool {
         self.version == other.version && self.bytes == other.bytes
     }
 }
 
-/// What became of a publication.
+/// Result of a publication.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Published {
-    /// It is in force.
+    /// The publication is in force.
     Accepted,
-    /// Another document has the same version and stays in force.
+    /// Another document with the same version stays in force.
     Conflict,
-    /// It was in force before.
+    /// The same publication was already in force.
     Repeated,
-    /// A higher version is in force.
+    /// A higher version stays in force.
     Superseded,
 }
--- a/crates/store/src/raft.rs
+++ b/crates/store/src/raft.rs
@@ -1,4 +1,4 @@
-//! The replicated log's state machine.
+//! The state machine of one store.
 
 use std::{
     collections::BTreeMap,
@@ -42,7 +42,7 @@
     },
     record::{
         Ballot,
-        Encoded,
+        EncodedSnapshot,
         Record,
         Saved, //
     },
@@ -51,49 +51,50 @@
     timing::Timing,
 };
 
-/// One store's part in the replicated log.
+/// The Raft state machine of one store.
 ///
-/// It has no clock, socket or disk: [`Raft::handle`] takes the time and an event and returns what
-/// is to be done. Times count from the process's start.
+/// It does no I/O and has no clock: [`Raft::handle`] takes the current time and an event, and
+/// returns the actions to carry out. Times count from the start of the process.
 #[derive(Clone, Debug)]
 pub struct Raft {
     pub(crate) actions: Vec<Action>,
     pub(crate) applied: Index,
     pub(crate) ballot: Ballot,
-    /// Data centres of the stores, by the store's name, as far as they have said.
+    /// Data centres of the stores that reported one, by name of the store.
     pub(crate) centres: BTreeMap<Box<str>, Box<str>>,
     pub(crate) cluster: Option<ClusterId>,
     pub(crate) commit: Index,
-    /// When the next election begins.
-    pub(crate) deadline: Duration,
-    /// When the leader was heard last.
-    pub(crate) heard: Option<Duration>,
+    /// Time of the next election, unless a leader sends a message before.
+    pub(crate) election_deadline: Duration,
     pub(crate) id: StoreId,
-    /// A snapshot that arrives in parts.
-    pub(crate) incoming: Option<(Position, Vec<u8>)>,
+    /// Partially received snapshot.
+    pub(crate) incoming_snapshot: Option<(Position, Vec<u8>)>,
+    /// Time of the last message from a leader.
+    pub(crate) last_contact: Option<Duration>,
     pub(crate) leader: Option<StoreId>,
     pub(crate) ledger: Ledger,
     pub(crate) log: Log,
     pub(crate) now: Duration,
     pub(crate) random: ChaCha8Rng,
     pub(crate) role: Role,
-    pub(crate) snapshot: Option<Encoded>,
-    /// Elections that it has stood for without hearing of a leader since its start.
-    pub(crate) stood: u32,
+    pub(crate) snapshot: Option<EncodedSnapshot>,
+    /// Election timeouts since the process started or last received a pre-vote request from a store
+    /// whose log is behind. Each one doubles the timeout of a store without contact with a leader.
+    pub(crate) timeouts: u32,
     pub(crate) timing: Timing,
-    /// Last entry that a leader said is committed.
+    /// Highest commit index received from a leader.
     pub(crate) leader_commit: Index,
 }
 
 impl Raft {
-    /// Creates the state machine from what the disk holds; none if its snapshot has no meaning.
+    /// Creates the state machine from the saved state; none if the snapshot cannot be decoded.
     pub fn new(id: StoreId, saved: Saved, timing: Timing, random: ChaCha8Rng) -> Option<Self> {
-        let held = match &saved.snapshot {
+        let snapshot = match &saved.snapshot {
             Some(encoded) => Some(Snapshot::decode(&encoded.bytes)?),
             None => None,
         };
-        let (base, members, ledger) = match held {
-            Some(held) => (held.position, held.members, held.ledger),
+        let (base, members, ledger) = match snapshot {
+            Some(snapshot) => (snapshot.position, snapshot.members, snapshot.ledger),
             None => (Position::default(), Members::default(), Ledger::new()),
         };
         let mut log = Log::new(base, members);
@@ -109,10 +110,10 @@
             centres: BTreeMap::new(),
             cluster: saved.cluster,
             commit: base.index,
-            deadline: Duration::ZERO,
-            heard: None,
+            election_deadline: Duration::ZERO,
             id,
-            incoming: None,
+            incoming_snapshot: None,
+            last_contact: None,
             leader: None,
             ledger,
             log,
@@ -120,98 +121,101 @@
             random,
             role: Role::Follower,
             snapshot: saved.snapshot,
-            stood: 0,
+            timeouts: 0,
             timing,
             leader_commit: Index::default(),
         };
-        if !raft.alone() {
-            raft.postpone();
+        if !raft.is_sole_voter() {
+            raft.reset_deadline();
         }
         Some(raft)
     }
 
-    /// Takes an event and returns what is to be done.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.now = now;
         match event {
-            Event::Change(change, token) => self.change(change, token),
-            Event::Edit(edit, token) => self.edit(edit, token),
-            Event::Found(cluster, members) => self.found(cluster, members),
+            Event::Change(change, token) => self.propose_change(change, token),
+            Event::Edit(edit, token) => self.propose_edit(edit, token),
+            Event::Found(cluster, members) => self.form_cluster(cluster, members),
             Event::Init(cluster, member) => self.init(cluster, member),
             Event::Join(member) => self.join(member),
             Event::Locate(name, centre) => {
                 self.centres.insert(name, centre);
             }
-            Event::Message(message) => self.receive(message),
-            Event::Publish(publication, token) => self.publish(publication, token),
-            Event::Read(token) => self.read(token),
-            Event::Synced(position) => self.synced(position),
+            Event::Message(message) => self.handle_message(message),
+            Event::Publish(publication, token) => self.propose_publication(publication, token),
+            Event::Read(token) => self.start_read(token),
+            Event::Synced(position) => self.handle_synced(position),
             Event::Tick => self.tick(),
         }
-        self.advance();
-        self.apply();
-        self.confirm();
+        self.advance_commit();
+        self.apply_committed();
+        self.answer_reads();
         self.compact();
         self.reconcile();
         self.replicate();
         mem::take(&mut self.actions)
     }
 
-    /// Last entry that is known to be committed.
+    /// Index of the last entry that is known to be committed.
     pub const fn commit(&self) -> Index {
         self.commit
     }
 
-    /// Whether the store was in contact with a quorum within the last election timeout.
+    /// Whether the store, within the last election timeout, had contact with a quorum as the
+    /// leader, or otherwise with a leader.
     pub fn confirmed(&self, now: Duration) -> bool {
-        let recent = |at: Duration| now.saturating_sub(at) < self.timing.election;
+        let recent = |at: Duration| now.saturating_sub(at) < self.timing.election_timeout;
         match &self.role {
-            Role::Leader(leader) => self.log.members().quorum(|id| {
+            Role::Leader(leader) => self.log.members().is_quorum(|id| {
                 let peer = leader.peers.get(&id);
-                id == self.id || peer.is_some_and(|peer| recent(peer.contact))
+                id == self.id || peer.is_some_and(|peer| recent(peer.last_contact))
             }),
             Role::Candidate(_) | Role::Follower | Role::PreCandidate(_) => {
-                self.heard.is_some_and(recent)
+                self.last_contact.is_some_and(recent)
             }
         }
     }
 
-    /// Whether the store holds all that the leader it is in contact with said is committed.
+    /// Whether the store is up to date: it has contact with a leader and has applied all entries
+    /// that a leader reported as committed, or it leads with a quorum and has committed an entry of
+    /// its own term.
     pub fn current(&self, now: Duration) -> bool {
         let started = match &self.role {
-            Role::Leader(leader) => leader.start <= self.commit,
+            Role::Leader(leader) => leader.start_index <= self.commit,
             Role::Candidate(_) | Role::Follower | Role::PreCandidate(_) => {
-                self.heard.is_some() && self.applied >= self.leader_commit
+                self.last_contact.is_some() && self.applied >= self.leader_commit
             }
         };
         started && self.confirmed(now)
     }
 
-    /// Whether the store has reason to ask to be taken in: as far as it knows it is no member, or
-    /// it hears no leader, as after it was replaced while it was silent.
+    /// Whether the store should request to join: it is not a member as far as it knows, or it has
+    /// no contact with a leader, for example because it was replaced while it was unreachable.
     pub fn needs_join(&self, now: Duration) -> bool {
         self.log.members().get(self.id).is_none() || !(self.leads() || self.confirmed(now))
     }
 
-    /// When [`Event::Tick`] is due.
-    pub fn due(&self) -> Duration {
+    /// Time of the next [`Event::Tick`].
+    pub fn next_tick(&self) -> Duration {
         match &self.role {
-            Role::Leader(leader) => leader.beat,
-            Role::Candidate(_) | Role::Follower | Role::PreCandidate(_) => self.deadline,
+            Role::Leader(leader) => leader.next_heartbeat,
+            Role::Candidate(_) | Role::Follower | Role::PreCandidate(_) => self.election_deadline,
         }
     }
 
-    /// The store's own id.
+    /// Id of this store.
     pub const fn id(&self) -> StoreId {
         self.id
     }
 
-    /// The log that the store belongs to; none before the first start.
+    /// The cluster that the store belongs to; none before it forms or joins one.
     pub const fn cluster(&self) -> Option<ClusterId> {
         self.cluster
     }
 
-    /// The leader, if one was heard within the last election timeout.
+    /// The leader, if this store is it or had contact with it within the last election timeout.
     pub fn leader(&self, now: Duration) -> Option<&Member> {
         match self.leader {
             Some(id) if id == self.id || self.confirmed(now) => self.log.members().get(id),
@@ -224,7 +228,7 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The state that the committed entries made.
+    /// The state after the applied entries.
     pub const fn ledger(&self) -> &Ledger {
         &self.ledger
     }
@@ -239,14 +243,14 @@
         self.log.members()
     }
 
-    /// The term.
+    /// The current term.
     pub const fn term(&self) -> Term {
         self.ballot.term
     }
 
-    /// Whether this store alone is the quorum.
-    pub(crate) fn alone(&self) -> bool {
-        self.log.members().quorum(|id| id == self.id)
+    /// Whether this store is the only voter.
+    pub(crate) fn is_sole_voter(&self) -> bool {
+        self.log.members().is_quorum(|id| id == self.id)
     }
 
     /// Answers a request.
@@ -259,31 +263,35 @@
         self.answer(token, Answer::Refused(code, advice.into()));
     }
 
-    /// Adds an entry behind the log's last one.
+    /// Appends a new entry of the current term to the log.
     pub(crate) fn append(&mut self, payload: Payload) -> Index {
         let position = Position {
             term: self.ballot.term,
             index: self.log.last().index.next(),
         };
-        self.store(Entry { payload, position });
+        self.persist_entry(Entry { payload, position });
         position.index
     }
 
-    /// Draws the time of the next election: a store that has heard no leader since its start waits
-    /// for none to fall silent, but longer after each election, for stores that are far apart.
-    pub(crate) fn postpone(&mut self) {
-        let wait = match self.heard {
-            Some(_) => self.timing.election,
+    /// Draws the time of the next election. A store without contact with a leader since its start
+    /// has no leader's timeout to wait for and uses a short timeout, which doubles with each
+    /// election, so that stores with a long delay between them can elect one, too.
+    pub(crate) fn reset_deadline(&mut self) {
+        let wait = match self.last_contact {
+            Some(_) => self.timing.election_timeout,
             None => {
-                let doubled = self.timing.first.saturating_mul(1 << self.stood.min(16));
-                doubled.min(self.timing.election)
+                let doubled = self
+                    .timing
+                    .first_timeout
+                    .saturating_mul(1 << self.timeouts.min(16));
+                doubled.min(self.timing.election_timeout)
             }
         };
         let spread = wait.mul_f64(self.random.random::<f64>());
-        self.deadline = self.now + wait + spread;
+        self.election_deadline = self.now + wait + spread;
     }
 
-    /// What the disk holds once all actions so far are done.
+    /// The state on disk once all actions returned so far are carried out.
     pub(crate) fn saved(&self) -> Saved {
         Saved {
             ballot: self.ballot,
@@ -306,14 +314,14 @@
         }
     }
 
-    /// Keeps an entry in memory and on disk.
-    pub(crate) fn store(&mut self, entry: Entry) {
+    /// Adds an entry to the log in memory and on disk.
+    pub(crate) fn persist_entry(&mut self, entry: Entry) {
         self.log.push(entry.clone());
         self.actions.push(Action::Persist(Record::Entry(entry)));
     }
 
-    /// Keeps a new ballot.
-    pub(crate) fn vote(&mut self, term: Term, vote: Option<StoreId>) {
+    /// Sets and persists the ballot.
+    pub(crate) fn set_ballot(&mut self, term: Term, vote: Option<StoreId>) {
         self.ballot = Ballot { term, vote };
         self.actions
             .push(Action::Persist(Record::Ballot(self.ballot)));
@@ -323,24 +331,25 @@
         if self.cluster.is_some() {
             return;
         }
-        self.adopt(cluster);
-        self.vote(Term(1), Some(self.id));
+        self.set_cluster(cluster);
+        self.set_ballot(Term(1), Some(self.id));
         self.append(Payload::Members(Members([member].into())));
-        self.campaign();
+        self.start_election();
     }
 
-    fn found(&mut self, cluster: ClusterId, members: Members) {
+    fn form_cluster(&mut self, cluster: ClusterId, members: Members) {
         if self.cluster.is_some() {
             return;
         }
-        self.adopt(cluster);
-        self.vote(Term(1), None);
-        // The same entry on every founder, so that it counts as replicated from the start.
+        self.set_cluster(cluster);
+        self.set_ballot(Term(1), None);
+        // Every founding store has the same first entry, so that it counts as replicated from the
+        // start.
         self.append(Payload::Members(members));
     }
 
-    /// Joins a log.
-    pub(crate) fn adopt(&mut self, cluster: ClusterId) {
+    /// Sets and persists the cluster that this store belongs to.
+    pub(crate) fn set_cluster(&mut self, cluster: ClusterId) {
         self.cluster = Some(cluster);
         self.actions.push(Action::Persist(Record::Cluster(cluster)));
     }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,4 +1,4 @@
-//! What a store keeps on its disk.
+//! The state that a store keeps on disk.
 
 use std::sync::Arc;
 
@@ -19,51 +19,51 @@
     },
 };
 
-/// The term, and who got this store's vote in it.
+/// The current term and this store's vote in it.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Ballot {
     /// The term.
     pub term: Term,
-    /// Who got the vote, if anyone.
+    /// Store that got the vote, if any.
     pub vote: Option<StoreId>,
 }
 
 /// An encoded snapshot.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Encoded {
-    /// Its bytes.
+pub struct EncodedSnapshot {
+    /// The encoded [`Snapshot`](crate::Snapshot).
     pub bytes: Arc<[u8]>,
-    /// Last entry that it holds.
+    /// Last entry that the snapshot covers.
     pub position: Position,
 }
 
-/// One record of the log's file, in the order in which they were made.
+/// A record of the log file; records are applied in the order in which they were written.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Record {
     /// A new ballot.
     Ballot(Ballot),
-    /// The entries up to here are held by a snapshot.
+    /// A snapshot covers the entries up to this one.
     Base(Position),
-    /// The log that the store belongs to.
+    /// The cluster that the store belongs to.
     Cluster(ClusterId),
-    /// An entry; it replaces all entries from its index on.
+    /// An entry, which replaces all entries from its index on.
     Entry(Entry),
 }
 
-/// All that a store keeps: what it starts from after a restart.
+/// The persistent state of a store, from which it restarts.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Saved {
     /// The ballot.
     pub ballot: Ballot,
-    /// The log that the store belongs to; none before the first start.
+    /// The cluster that the store belongs to; none before it forms or joins one.
     pub cluster: Option<ClusterId>,
     /// The entries after the snapshot.
     pub entries: Vec<Entry>,
     /// The snapshot.
-    pub snapshot: Option<Encoded>,
+    pub snapshot: Option<EncodedSnapshot>,
 }
 
 impl Saved {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The records that stand for all but the snapshot's own bytes.
+    /// The records that restore the state, except for the snapshot's content.
     pub fn records(&self) -> Vec<Record> {
         let cluster = self.cluster.map(Record::Cluster);
         let snapshot = self.snapshot.as_ref();
--- a/crates/store/src/replication.rs
+++ b/crates/store/src/replication.rs
@@ -1,4 +1,4 @@
-//! The leader's side of replication.
+//! Dispatch of messages, and replication on the leader's side.
 
 use codes::Code;
 
@@ -24,24 +24,24 @@
     },
 };
 
-/// Length of one part of a snapshot, in bytes.
+/// Maximum size of a snapshot chunk, in bytes.
 const CHUNK_BYTES: usize = 256 * 1024;
 
 impl Raft {
-    /// Takes a message of another store.
-    pub(crate) fn receive(&mut self, message: Message) {
-        if message.to != self.id || !self.joined(&message) {
+    /// Handles a message from another store.
+    pub(crate) fn handle_message(&mut self, message: Message) {
+        if message.to != self.id || !self.check_cluster(&message) {
             return;
         }
-        let asked = matches!(message.body, Body::Vote { .. });
-        if asked && message.term > self.ballot.term && self.led() {
+        let vote = matches!(message.body, Body::Vote { .. });
+        if vote && message.term > self.ballot.term && self.has_leader() {
             return;
         }
         if message.term > self.ballot.term {
-            self.follow(message.term, None);
+            self.become_follower(message.term, None);
         }
         if message.term < self.ballot.term {
-            return self.outdated(&message);
+            return self.answer_outdated(&message);
         }
         let from = message.from;
         match message.body {
@@ -50,50 +50,51 @@
                 entries,
                 previous,
                 round,
-            } => self.accept(from, previous, entries, commit, round),
-            Body::Appended { matched, round } => self.appended(from, matched, round),
+            } => self.handle_append(from, previous, entries, commit, round),
+            Body::Appended { matched, round } => self.handle_appended(from, matched, round),
             Body::Chunk {
                 bytes,
                 offset,
                 position,
                 total,
-            } => self.chunk(from, position, offset, &bytes, total),
-            Body::PreVote { last, proposed } => self.pre_vote(from, last, proposed),
-            Body::PreVoted { granted, proposed } => self.pre_voted(from, granted, proposed),
-            Body::Rejected { next, round } => self.rejected(from, next, round),
-            Body::Taken { position, received } => self.taken(from, position, received),
-            Body::Vote { last } => self.voting(from, last),
-            Body::Voted { granted } => self.voted(from, granted),
+            } => self.handle_chunk(from, position, offset, &bytes, total),
+            Body::PreVote { last, proposed } => self.handle_pre_vote(from, last, proposed),
+            Body::PreVoted { granted, proposed } => self.handle_pre_voted(from, granted, proposed),
+            Body::Rejected { next, round } => self.handle_rejected(from, next, round),
+            Body::Taken { position, received } => self.handle_taken(from, position, received),
+            Body::Vote { last } => self.handle_vote(from, last),
+            Body::Voted { granted } => self.handle_voted(from, granted),
         }
     }
 
-    /// Begins a read: a round of heartbeats, which a quorum has to answer.
-    pub(crate) fn read(&mut self, token: Token) {
+    /// Starts a linearizable read: a heartbeat round that a quorum has to answer.
+    pub(crate) fn start_read(&mut self, token: Token) {
         let commit = self.commit;
         let started = match &mut self.role {
-            Role::Leader(leader) if leader.start <= commit => {
+            Role::Leader(leader) if leader.start_index <= commit => {
                 leader.round += 1;
-                leader.beat = self.now;
+                leader.next_heartbeat = self.now;
                 leader.reads.push((leader.round, commit, token));
                 true
             }
             Role::Candidate(_) | Role::Follower | Role::Leader(_) | Role::PreCandidate(_) => false,
         };
         match started {
-            true => self.beat(),
+            true => self.heartbeat(),
             false => self.refuse(token, Code::NoLeader, "this store does not lead"),
         }
     }
 
-    /// Answers the reads whose round a quorum has answered: no other store led when they began.
-    pub(crate) fn confirm(&mut self) {
+    /// Answers the reads whose heartbeat round a quorum has answered, which proves that this store
+    /// was the leader when they started.
+    pub(crate) fn answer_reads(&mut self) {
         let members = self.log.members();
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         let peers = &leader.peers;
         let answered = |round: u64| {
-            members.quorum(|id| {
+            members.is_quorum(|id| {
                 id == self.id || peers.get(&id).is_some_and(|peer| peer.round >= round)
             })
         };
@@ -107,29 +108,29 @@
         }
     }
 
-    /// Sends heartbeats, and steps down without a quorum.
-    pub(crate) fn beat(&mut self) {
+    /// Sends heartbeats if they are due, or steps down if there is no contact with a quorum.
+    pub(crate) fn heartbeat(&mut self) {
         if !self.confirmed(self.now) {
-            return self.follow(self.ballot.term, None);
+            return self.become_follower(self.ballot.term, None);
         }
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if self.now < leader.beat {
+        if self.now < leader.next_heartbeat {
             return;
         }
-        leader.beat = self.now + self.timing.heartbeat;
+        leader.next_heartbeat = self.now + self.timing.heartbeat_interval;
         for peer in leader.peers.values_mut() {
             peer.waiting = false;
         }
         let peers: Vec<_> = leader.peers.keys().copied().collect();
         for id in peers {
-            self.forward(id);
+            self.send_append(id);
         }
     }
 
-    /// Notes what is on this store's own disk.
-    pub(crate) fn synced(&mut self, position: Position) {
+    /// Records the last entry on this store's own disk.
+    pub(crate) fn handle_synced(&mut self, position: Position) {
         let known = self.log.term(position.index) == Some(position.term);
         if let Role::Leader(leader) = &mut self.role
             && known
@@ -138,18 +139,19 @@
         }
     }
 
-    /// Commits what a quorum has on its disks; only entries of the present term are counted.
-    pub(crate) fn advance(&mut self) {
+    /// Commits the entries that a quorum has on disk. Only entries of the current term are counted;
+    /// the ones before them are committed with them.
+    pub(crate) fn advance_commit(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        let held = |id: StoreId, index: Index| match leader.peers.get(&id) {
+        let synced = |id: StoreId, index: Index| match leader.peers.get(&id) {
             Some(peer) => peer.matched >= index,
             None => id == self.id && leader.synced >= index,
         };
         let mut index = self.log.last().index;
         while index > self.commit && self.log.term(index) == Some(self.ballot.term) {
-            if self.log.members().quorum(|id| held(id, index)) {
+            if self.log.members().is_quorum(|id| synced(id, index)) {
                 self.commit = index;
                 return;
             }
@@ -157,8 +159,8 @@
         }
     }
 
-    /// Applies what is committed, and answers the requests behind it.
-    pub(crate) fn apply(&mut self) {
+    /// Applies the committed entries and answers the requests that proposed them.
+    pub(crate) fn apply_committed(&mut self) {
         while self.applied < self.commit {
             let Some(entry) = self.log.get(self.applied.next()) else {
                 return;
@@ -177,54 +179,55 @@
                 self.answer(token, answer);
             }
         }
-        self.retire();
+        self.step_down_if_removed();
     }
 
-    /// Sends each idle member what it lacks.
+    /// Sends missing entries or the commit index to each peer without a pending request.
     pub(crate) fn replicate(&mut self) {
-        self.meet();
+        self.update_peers();
         let Role::Leader(leader) = &self.role else {
             return;
         };
         let last = self.log.last().index;
         let lagging =
-            |peer: &Peer| !peer.waiting && (peer.matched < last || peer.told < self.commit);
+            |peer: &Peer| !peer.waiting && (peer.matched < last || peer.sent_commit < self.commit);
         let peers = leader.peers.iter().filter(|(_, peer)| lagging(peer));
         let peers: Vec<_> = peers.map(|(id, _)| *id).collect();
         for id in peers {
-            self.forward(id);
+            self.send_append(id);
         }
     }
 
-    /// Steps down once a membership without this store is committed.
-    fn retire(&mut self) {
+    /// Steps down once a membership without this store as a voter is committed.
+    fn step_down_if_removed(&mut self) {
         let committed = self.log.members_index() <= self.commit;
-        if self.leads() && committed && !self.log.members().votes(self.id) {
-            self.follow(self.ballot.term, None);
+        if self.leads() && committed && !self.log.members().is_voter(self.id) {
+            self.become_follower(self.ballot.term, None);
         }
     }
 
-    /// Joins the log of a leader's message; false for the messages of other logs.
-    fn joined(&mut self, message: &Message) -> bool {
-        let led = matches!(message.body, Body::Append { .. } | Body::Chunk { .. });
+    /// Whether a message belongs to this store's cluster. A store without one joins the cluster of
+    /// the first leader that sends it a message.
+    fn check_cluster(&mut self, message: &Message) -> bool {
+        let leader = matches!(message.body, Body::Append { .. } | Body::Chunk { .. });
         match self.cluster {
             Some(cluster) => cluster == message.cluster,
-            None if led => {
-                self.adopt(message.cluster);
+            None if leader => {
+                self.set_cluster(message.cluster);
                 true
             }
             None => false,
         }
     }
 
-    /// Tells a sender of an earlier term about the present one.
-    fn outdated(&mut self, message: &Message) {
+    /// Answers a message of an earlier term, so that its sender learns the current one.
+    fn answer_outdated(&mut self, message: &Message) {
         match message.body {
             Body::Append { .. } | Body::Chunk { .. } => {
                 let next = self.log.last().index.next();
                 self.send(message.from, Body::Rejected { next, round: 0 });
             }
-            Body::PreVote { last, proposed } => self.pre_vote(message.from, last, proposed),
+            Body::PreVote { last, proposed } => self.handle_pre_vote(message.from, last, proposed),
             Body::Vote { .. } => self.send(message.from, Body::Voted { granted: false }),
             Body::Appended { .. }
             | Body::PreVoted { .. }
@@ -234,8 +237,8 @@
         }
     }
 
-    fn appended(&mut self, from: StoreId, matched: Index, round: u64) {
-        let Some(peer) = self.answered(from, round) else {
+    fn handle_appended(&mut self, from: StoreId, matched: Index, round: u64) {
+        let Some(peer) = self.record_response(from, round) else {
             return;
         };
         peer.matched = peer.matched.max(matched);
@@ -244,45 +247,46 @@
         self.promote(from);
     }
 
-    fn rejected(&mut self, from: StoreId, next: Index, round: u64) {
-        if let Some(peer) = self.answered(from, round) {
+    fn handle_rejected(&mut self, from: StoreId, next: Index, round: u64) {
+        if let Some(peer) = self.record_response(from, round) {
             peer.next = next.max(peer.matched.next());
         }
-        self.forward(from);
+        self.send_append(from);
     }
 
-    fn taken(&mut self, from: StoreId, position: Position, received: u64) {
+    fn handle_taken(&mut self, from: StoreId, position: Position, received: u64) {
         let base = self.log.base();
-        if let Some(peer) = self.answered(from, 0) {
+        if let Some(peer) = self.record_response(from, 0) {
             peer.offset = match position == base {
                 true => received,
                 false => 0,
             };
         }
-        self.forward(from);
+        self.send_append(from);
     }
 
-    /// The peer that answered.
-    fn answered(&mut self, from: StoreId, round: u64) -> Option<&mut Peer> {
+    /// Records a response of a peer, and returns the peer.
+    fn record_response(&mut self, from: StoreId, round: u64) -> Option<&mut Peer> {
         let Role::Leader(leader) = &mut self.role else {
             return None;
         };
         let peer = leader.peers.get_mut(&from)?;
-        peer.contact = self.now;
+        peer.last_contact = self.now;
         peer.round = peer.round.max(round);
         peer.waiting = false;
         Some(peer)
     }
 
-    /// Sends a member entries, or a part of the snapshot if they are no longer in the log.
-    fn forward(&mut self, id: StoreId) {
+    /// Sends the next entries to a peer, or a chunk of the snapshot if they are no longer in the
+    /// log.
+    fn send_append(&mut self, id: StoreId) {
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         let Some(peer) = leader.peers.get_mut(&id) else {
             return;
         };
-        peer.told = self.commit;
+        peer.sent_commit = self.commit;
         peer.waiting = true;
         let index = peer.next.previous();
         let round = leader.round;
--- a/crates/store/src/role.rs
+++ b/crates/store/src/role.rs
@@ -1,4 +1,4 @@
-//! What a store is in its term.
+//! Roles of a store in its term.
 
 use std::{
     collections::{
@@ -14,54 +14,54 @@
     position::Index, //
 };
 
-/// What the leader knows of another store.
+/// The leader's replication state of another store.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
-    /// When it answered last, since the process started.
-    pub contact: Duration,
-    /// Last entry that is known to be on its disk.
+    /// Time of its last response.
+    pub last_contact: Duration,
+    /// Index of the last entry that is known to be on its disk.
     pub matched: Index,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     pub next: Index,
-    /// Length of the snapshot that has arrived, in bytes.
+    /// Length of the snapshot that it has received, in bytes.
     pub offset: u64,
-    /// Latest round of heartbeats that it answered.
+    /// Latest heartbeat round that it answered.
     pub round: u64,
-    /// Committed entry that it was told of last.
-    pub told: Index,
-    /// Whether an answer is awaited.
+    /// Last commit index that was sent to it.
+    pub sent_commit: Index,
+    /// Whether a response is pending.
     pub waiting: bool,
 }
 
-/// What a leader keeps.
+/// State of a leader.
 #[derive(Clone, Debug)]
 pub(crate) struct Leader {
-    /// When the next heartbeat is due.
-    pub beat: Duration,
+    /// Time of the next heartbeat.
+    pub next_heartbeat: Duration,
     /// The other stores.
     pub peers: BTreeMap<StoreId, Peer>,
-    /// Requests by their entry.
+    /// Pending requests, by index of their entry.
     pub pending: BTreeMap<Index, Token>,
-    /// Reads that wait for a quorum to answer a round: the round, and the commit index at the
-    /// read's begin.
+    /// Pending reads: the heartbeat round that a quorum has to answer, the commit index at the
+    /// start of the read, and the request.
     pub reads: Vec<(u64, Index, Token)>,
-    /// Latest round of heartbeats.
+    /// Latest heartbeat round.
     pub round: u64,
-    /// Its first entry of the term.
-    pub start: Index,
-    /// Last entry that is on its own disk.
+    /// Index of the leader's first entry.
+    pub start_index: Index,
+    /// Index of the last entry on the leader's own disk.
     pub synced: Index,
 }
 
-/// What a store is in its term.
+/// Role of a store in its term.
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
-    /// Asks for votes.
+    /// Requests votes; holds the stores that granted theirs.
     Candidate(BTreeSet<StoreId>),
-    /// Follows a leader, or waits for one.
+    /// Follows a leader, or waits for an election.
     Follower,
-    /// Takes edits.
+    /// Accepts requests and replicates entries.
     Leader(Box<Leader>),
-    /// Asks whether votes would be given.
+    /// Requests pre-votes; holds the stores that granted theirs.
     PreCandidate(BTreeSet<StoreId>),
 }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state that the committed entries made, in place of the entries.
+//! Snapshots of the state, which replace the entries that led to it.
 
 use std::sync::Arc;
 
@@ -11,18 +11,18 @@
     ledger::Ledger,
     members::Members,
     position::Position,
-    record::Encoded, //
+    record::EncodedSnapshot, //
 };
 
-/// The state that the entries up to a position made.
+/// The state after the entries up to a position.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub struct Snapshot {
     /// The ledger.
     pub ledger: Ledger,
-    /// The stores.
+    /// The members in effect.
     pub members: Members,
-    /// Last entry that is held.
+    /// Last entry that the snapshot covers.
     pub position: Position,
 }
 
@@ -34,9 +34,9 @@
         Some(snapshot)
     }
 
-    /// Encodes the snapshot; none if a part has no encoding.
-    pub fn encode(&self) -> Option<Encoded> {
-        Some(Encoded {
+    /// Encodes the snapshot; none if it cannot be encoded.
+    pub fn encode(&self) -> Option<EncodedSnapshot> {
+        Some(EncodedSnapshot {
             bytes: Arc::from(postcard::to_stdvec(self).ok()?),
             position: self.position,
         })
--- a/crates/store/src/spread.rs
+++ b/crates/store/src/spread.rs
@@ -1,4 +1,4 @@
-//! How the voters are spread over data centres.
+//! Distribution of the voters over data centres.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
     Members, //
 };
 
-/// The voters of each data centre, as far as stores have said where they stand.
+/// Number of voters in each data centre, for the stores that reported their data centre.
 #[derive(Debug)]
 pub(crate) struct Spread<'a> {
     centres: &'a BTreeMap<Box<str>, Box<str>>,
@@ -32,15 +32,15 @@
         }
     }
 
-    /// Voters in the data centre of a store; none if it has not said where it stands.
-    pub fn beside(&self, member: &Member) -> usize {
+    /// Number of voters in a store's data centre; 0 if the store has not reported it.
+    pub fn centre_voters(&self, member: &Member) -> usize {
         let centre = self.centres.get(&member.name);
         let count = centre.and_then(|centre| self.counts.get(&**centre));
         count.copied().unwrap_or_default()
     }
 
-    /// Whether the loss of a store's data centre would leave no quorum.
-    pub fn crowded(&self, member: &Member) -> bool {
-        self.beside(member) * 2 >= self.voters
+    /// Whether the loss of a store's data centre would break the quorum.
+    pub fn is_critical(&self, member: &Member) -> bool {
+        self.centre_voters(member) * 2 >= self.voters
     }
 }
--- a/crates/store/src/timing.rs
+++ b/crates/store/src/timing.rs
@@ -1,57 +1,59 @@
-//! The times and sizes that the state machine goes by.
+//! Timeouts and limits of the state machine.
 
 use std::time::Duration;
 
-/// The times and sizes that the state machine goes by.
+/// Timeouts and limits of the state machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Timing {
-    /// Least time without a leader after which a store stands for election. Each wait is drawn
-    /// between this and twice this. A leader steps down after this time without a quorum.
-    pub election: Duration,
-    /// The same for a store that has heard no leader since its start: a candidate asks before it
-    /// raises a term, so that an early one disturbs no leader. Doubles with each election up to
-    /// `election`; a few ways between data centres of one region.
-    pub first: Duration,
-    /// Time between two heartbeats of a leader.
-    pub heartbeat: Duration,
-    /// Time after which the leader lets another store take the place of a silent voter; only with
-    /// `voters`.
-    pub patience: Duration,
-    /// Applied entries after which a snapshot takes their place.
-    pub snapshot: u64,
-    /// Voters that the leader keeps by itself out of the stores that joined; none if operators
-    /// name the members and each of them is a voter.
+    /// Minimum time without contact with a leader before a store starts an election; each wait is
+    /// drawn between one and two times this value. A leader steps down after this time without
+    /// contact with a quorum.
+    pub election_timeout: Duration,
+    /// The same for a store without contact with a leader since its start. It doubles with each
+    /// election, up to `election_timeout`. It can be short, a few one-way delays between data
+    /// centres of one region, because the pre-vote keeps an early candidate from disturbing a
+    /// leader.
+    pub first_timeout: Duration,
+    /// Interval between heartbeats of a leader.
+    pub heartbeat_interval: Duration,
+    /// Time without a response after which the leader replaces a voter; applies only if `voters` is
+    /// set.
+    pub replacement_delay: Duration,
+    /// Number of applied entries after which they are replaced by a snapshot.
+    pub snapshot_entries: u64,
+    /// Number of voters that the leader selects from the stores that joined; none if operators
+    /// manage the members, which then all become voters.
     pub voters: Option<usize>,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            election: Duration::from_millis(600),
-            first: Duration::from_millis(30),
-            heartbeat: Duration::from_millis(100),
-            patience: Duration::from_secs(8),
-            snapshot: 4096,
+            election_timeout: Duration::from_millis(600),
+            first_timeout: Duration::from_millis(30),
+            heartbeat_interval: Duration::from_millis(100),
+            replacement_delay: Duration::from_secs(8),
+            snapshot_entries: 4096,
             voters: None,
         }
     }
 }
 
 impl Timing {
-    /// Creates the usual timing.
+    /// Creates the default timing.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Lets the leader keep that many voters by itself.
+    /// Sets the number of voters that the leader selects.
     pub const fn with_voters(mut self, voters: usize) -> Self {
         self.voters = Some(voters);
         self
     }
 
-    /// Sets the number of applied entries after which a snapshot is made.
+    /// Sets the number of applied entries after which a snapshot is taken.
     pub const fn with_snapshot(mut self, entries: u64) -> Self {
-        self.snapshot = entries;
+        self.snapshot_entries = entries;
         self
     }
 }
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -1,4 +1,4 @@
-//! The numbers that order changes.
+//! Revisions and versions, which order changes.
 
 use std::fmt::{
     Display,
@@ -11,7 +11,7 @@
     Serialize, //
 };
 
-/// Number of a state of the whole document; grows by one with each accepted edit.
+/// Revision of the whole document; each accepted edit increments it.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct Revision(pub u64);
@@ -29,7 +29,7 @@
     }
 }
 
-/// Number of a state of one section; 0 means that there is no such section.
+/// Version of one section; 0 means that the section does not exist.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct Version(pub u64);
--- a/crates/store/src/voters.rs
+++ b/crates/store/src/voters.rs
@@ -1,7 +1,7 @@
-//! The members that a leader keeps by itself, out of the stores that ask to be taken in.
+//! Automatic membership: the leader selects voters from the stores that request to join.
 //!
-//! Each step changes one member, and waits until the step before it is committed. Voters are spread
-//! over data centres, so that the loss of a whole one leaves a quorum wherever that is possible.
+//! Each change affects one member and starts after the previous one is committed. Voters are spread
+//! over data centres, so that the loss of a whole data centre leaves a quorum wherever possible.
 
 use std::time::Duration;
 
@@ -12,26 +12,26 @@
         Member,
         Members, //
     },
-    proposal::removed,
+    proposal::remove_member,
     raft::Raft,
     role::Role,
     spread::Spread, //
 };
 
-/// Patiences after which a learner that is silent is no member any more.
-const LEARNER_PATIENCES: u32 = 8;
+/// Number of replacement delays after which a silent learner is removed.
+const LEARNER_DELAY_FACTOR: u32 = 8;
 
 impl Raft {
-    /// Takes a store in as a learner. One that holds the name of another store took that one's
-    /// place with an empty disk, so that the other never returns.
+    /// Adds a store as a learner. If a member has the same name but another id, the store has lost
+    /// its disk and the old id never returns, so the old member is removed first.
     pub(crate) fn join(&mut self, member: Member) {
-        if !self.leads() || !self.settled() || !self.confirmed(self.now) {
+        if !self.leads() || !self.can_change_members() || !self.confirmed(self.now) {
             return;
         }
         let members = self.log.members();
-        let next = match members.named(&member.name) {
-            Some(held) if held.id == member.id => None,
-            Some(held) => removed(members, held.id).ok(),
+        let next = match members.by_name(&member.name) {
+            Some(other) if other.id == member.id => None,
+            Some(other) => remove_member(members, other.id).ok(),
             None => Some(members.with(Member {
                 voter: false,
                 ..member
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Makes the next change of the members, if there is one to be made.
+    /// Proposes the next membership change, if one is needed.
     pub(crate) fn reconcile(&mut self) {
         let Some(wanted) = self.timing.voters else {
             return;
         };
-        if !self.leads() || !self.settled() || !self.confirmed(self.now) {
+        if !self.leads() || !self.can_change_members() || !self.confirmed(self.now) {
             return;
         }
         if let Some(next) = self.next_members(wanted) {
@@ -57,54 +57,56 @@
 
     fn next_members(&self, wanted: usize) -> Option<Members> {
         let members = self.log.members();
-        let patience = self.timing.patience;
+        let delay = self.timing.replacement_delay;
         let spread = Spread::new(members, &self.centres);
         let voters = || members.0.iter().filter(|member| member.voter);
         let learners = || members.0.iter().filter(|member| !member.voter);
-        let lost = voters().find(|voter| self.silence(voter.id) > patience);
-        let crowded = voters()
-            .filter(|voter| voter.id != self.id && spread.crowded(voter))
-            .max_by_key(|voter| spread.beside(voter));
-        let caught = learners()
-            .filter(|learner| self.caught(learner.id))
-            .min_by_key(|learner| spread.beside(learner));
+        let silent = voters().find(|voter| self.silence(voter.id) > delay);
+        let critical = voters()
+            .filter(|voter| voter.id != self.id && spread.is_critical(voter))
+            .max_by_key(|voter| spread.centre_voters(voter));
+        let caught_up = learners()
+            .filter(|learner| self.is_caught_up(learner.id))
+            .min_by_key(|learner| spread.centre_voters(learner));
         let stale = learners()
             .map(|learner| learner.id)
-            .find(|id| self.silence(*id) > patience * LEARNER_PATIENCES);
-        let evens = |learner, voter| spread.beside(learner) + 1 < spread.beside(voter);
-        let replaced = lost.or(crowded);
-        match (replaced, caught, stale) {
+            .find(|id| self.silence(*id) > delay * LEARNER_DELAY_FACTOR);
+        let balances =
+            |learner, voter| spread.centre_voters(learner) + 1 < spread.centre_voters(voter);
+        let replaced = silent.or(critical);
+        match (replaced, caught_up, stale) {
             (_, Some(learner), _) if voters().count() < wanted => {
                 Some(members.with_voter(learner.id))
             }
             (Some(voter), Some(learner), _)
-                if voters().count() == wanted && (lost.is_some() || evens(learner, voter)) =>
+                if voters().count() == wanted && (silent.is_some() || balances(learner, voter)) =>
             {
                 Some(members.with_voter(learner.id))
             }
-            (Some(voter), _, _) if voters().count() > wanted => removed(members, voter.id).ok(),
+            (Some(voter), _, _) if voters().count() > wanted => {
+                remove_member(members, voter.id).ok()
+            }
             (_, _, Some(learner)) => Some(members.without(learner)),
             (_, _, None) => None,
         }
     }
 
-    /// Time since another store answered last; zero for this one.
+    /// Time since the last response of another store; zero for this one.
     fn silence(&self, id: StoreId) -> Duration {
         match &self.role {
-            Role::Leader(leader) => leader
-                .peers
-                .get(&id)
-                .map_or(Duration::ZERO, |peer| self.now.saturating_sub(peer.contact)),
+            Role::Leader(leader) => leader.peers.get(&id).map_or(Duration::ZERO, |peer| {
+                self.now.saturating_sub(peer.last_contact)
+            }),
             Role::Candidate(_) | Role::Follower | Role::PreCandidate(_) => Duration::ZERO,
         }
     }
 
-    /// Whether a store answers and has on its disk all that is committed.
-    fn caught(&self, id: StoreId) -> bool {
+    /// Whether a store is reachable and has all committed entries on disk.
+    fn is_caught_up(&self, id: StoreId) -> bool {
         match &self.role {
             Role::Leader(leader) => leader.peers.get(&id).is_some_and(|peer| {
-                let silence = self.now.saturating_sub(peer.contact);
-                peer.matched >= self.commit && silence < self.timing.election
+                let silence = self.now.saturating_sub(peer.last_contact);
+                peer.matched >= self.commit && silence < self.timing.election_timeout
             }),
             Role::Candidate(_) | Role::Follower | Role::PreCandidate(_) => false,
         }
--- a/crates/store/tests/explore.rs
+++ b/crates/store/tests/explore.rs
@@ -1,6 +1,6 @@
-//! Exhaustive exploration of three stores, breadth first, to a stated depth.
+//! Model checking: breadth-first exploration of all states of a few stores, up to a given depth.
 
-mod world;
+mod simulation;
 
 use std::hash::{
     Hash,
@@ -15,24 +15,26 @@
     Token, //
 };
 use pathfinding::directed::bfs::bfs_reach;
-use world::{
+use simulation::{
     Fault,
-    World, //
+    Simulation, //
 };
 
-/// A state on the way, equal to all that behave alike; breadth first meets each at its least depth.
+/// An explored state. States that behave alike are equal; breadth-first search finds each one at
+/// its minimum depth.
 #[derive(Clone, Debug)]
 struct Step {
     crashes: usize,
     depth: usize,
     edits: u64,
-    mark: u64,
-    world: World,
+    fingerprint: u64,
+    sim: Simulation,
 }
 
 impl PartialEq for Step {
     fn eq(&self, other: &Self) -> bool {
-        (self.mark, self.crashes, self.edits) == (other.mark, other.crashes, other.edits)
+        (self.fingerprint, self.crashes, self.edits)
+            == (other.fingerprint, other.crashes, other.edits)
     }
 }
 
@@ -40,18 +42,18 @@
 
 impl Hash for Step {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        (self.mark, self.crashes, self.edits).hash(state);
+        (self.fingerprint, self.crashes, self.edits).hash(state);
     }
 }
 
 impl Step {
-    fn new(world: World) -> Self {
+    fn new(sim: Simulation) -> Self {
         Self {
             crashes: 0,
             depth: 0,
             edits: 0,
-            mark: world.fingerprint(),
-            world,
+            fingerprint: sim.fingerprint(),
+            sim,
         }
     }
 
@@ -59,41 +61,41 @@
         let mut next = self.clone();
         change(&mut next);
         next.depth += 1;
-        next.mark = next.world.fingerprint();
+        next.fingerprint = next.sim.fingerprint();
         next
     }
 
-    /// All states one step on: a message arrives, a time runs out, a store is started again with
-    /// its disk or without, a leader takes an edit, stores ask to be taken in where the leader keeps
-    /// the members by itself. A message that never arrives is lost.
+    /// All successor states: a message is delivered, a timeout expires, a store restarts with its
+    /// disk or with an empty one, a leader receives an edit, or stores request to join if the
+    /// leader manages the members. A message that is never delivered is a lost one.
     fn successors(&self, depth: usize) -> Vec<Self> {
         let mut next = Vec::new();
-        if self.depth == depth || self.world.wrong.is_some() {
+        if self.depth == depth || self.sim.violation.is_some() {
             return next;
         }
-        for place in 0..self.world.network.len() {
-            next.push(self.next(|step| step.world.deliver(place)));
+        for index in 0..self.sim.network.len() {
+            next.push(self.next(|step| step.sim.deliver(index)));
         }
-        if self.world.timing.voters.is_some() {
-            next.push(self.next(|step| step.world.join()));
+        if self.sim.timing.voters.is_some() {
+            next.push(self.next(|step| step.sim.join()));
         }
-        for number in 0..self.world.nodes.len() {
-            next.push(self.next(|step| step.world.tick(number)));
+        for number in 0..self.sim.nodes.len() {
+            next.push(self.next(|step| step.sim.tick(number)));
             if self.crashes == 0 {
                 next.push(self.next(|step| {
                     step.crashes += 1;
-                    step.world.crash(number);
+                    step.sim.crash(number);
                 }));
                 next.push(self.next(|step| {
                     step.crashes += 1;
-                    step.world.wipe(number, StoreId(100));
+                    step.sim.wipe(number, StoreId(100));
                 }));
             }
-            if self.edits == 0 && self.world.nodes[number].raft.leads() {
+            if self.edits == 0 && self.sim.nodes[number].raft.leads() {
                 next.push(self.next(|step| {
                     step.edits += 1;
-                    let edit = world::edit("explored", 0);
-                    step.world.event(number, Event::Edit(edit, Token(9)));
+                    let edit = simulation::edit("explored", 0);
+                    step.sim.event(number, Event::Edit(edit, Token(9)));
                 }));
             }
         }
@@ -101,100 +103,101 @@
     }
 }
 
-/// Number of distinct states within the depth, or the first one that is wrong.
-fn explore(world: World, depth: usize) -> Result<usize, String> {
-    explore_from(Step::new(world), depth)
+/// Number of distinct states up to the depth, or the first violation found.
+fn explore(sim: Simulation, depth: usize) -> Result<usize, String> {
+    explore_from(Step::new(sim), depth)
 }
 
 fn explore_from(first: Step, depth: usize) -> Result<usize, String> {
     let mut count = 0;
     for step in bfs_reach(first, |step| step.successors(depth)) {
         count += 1;
-        if let Some(wrong) = step.world.wrong {
-            return Err(wrong);
+        if let Some(violation) = step.sim.violation {
+            return Err(violation);
         }
     }
     Ok(count)
 }
 
-/// Three stores, none of which leads.
-fn fresh() -> World {
-    World::new(3, Timing::new())
+/// Three stores without a leader.
+fn leaderless() -> Simulation {
+    Simulation::new(3, Timing::new())
 }
 
-/// The first store leads with the second one's vote; the third heard nothing of it.
-fn elected() -> World {
+/// The first store leads with the vote of the second one; the third received no message.
+fn elected() -> Simulation {
     elected_with(Fault::None)
 }
 
-fn elected_with(fault: Fault) -> World {
-    let mut world = fresh();
-    world.fault = fault;
-    world.tick(0);
-    while let Some(place) = world.network.iter().position(|message| {
-        message.to != world::id(2) && !matches!(message.body, Body::Append { .. })
+fn elected_with(fault: Fault) -> Simulation {
+    let mut sim = leaderless();
+    sim.fault = fault;
+    sim.tick(0);
+    while let Some(index) = sim.network.iter().position(|message| {
+        message.to != simulation::id(2) && !matches!(message.body, Body::Append { .. })
     }) {
-        world.deliver(place);
+        sim.deliver(index);
     }
-    assert_eq!(world.leader(), Some(0));
-    world.network.clear();
-    world
-}
-
-/// The first two stores committed an edit that the third one lacks.
-fn committed() -> World {
-    let mut world = fresh();
-    world.tick(0);
-    world.settle(&[0, 1]);
-    world.event(0, Event::Edit(world::edit("first", 0), Token(1)));
-    world.settle(&[0, 1]);
-    assert!(world.answers.contains_key(&Token(1)));
-    world
-}
-
-/// Four stores of which three vote: the leader and one more committed an edit that the third one
-/// lacks, and that other one has just lost its disk. The fourth one is a learner.
-fn disk_lost() -> World {
-    let mut world = World::founded(4, 3, Timing::new().with_voters(3));
+    assert_eq!(sim.leader(), Some(0));
+    sim.network.clear();
+    sim
+}
+
+/// The first two stores have committed an edit that the third one lacks.
+fn committed() -> Simulation {
+    let mut sim = leaderless();
+    sim.tick(0);
+    sim.deliver_all(&[0, 1]);
+    sim.event(0, Event::Edit(simulation::edit("first", 0), Token(1)));
+    sim.deliver_all(&[0, 1]);
+    assert!(sim.answers.contains_key(&Token(1)));
+    sim
+}
+
+/// Three voters and a learner: the leader and the second store have committed an edit that the
+/// third one lacks, and the second store has just lost its disk.
+fn disk_lost() -> Simulation {
+    let mut sim = Simulation::founded(4, 3, Timing::new().with_voters(3));
     let all = [0, 1, 2, 3];
     for _ in 0..8 {
-        world.tick(0);
-        world.settle(&all);
-        world.join();
-        world.settle(&all);
+        sim.tick(0);
+        sim.deliver_all(&all);
+        sim.join();
+        sim.deliver_all(&all);
     }
-    assert_eq!(world.leader(), Some(0));
-    assert_eq!(world.nodes[0].raft.members().0.len(), 4);
-    world.event(0, Event::Edit(world::edit("first", 0), Token(1)));
-    world.settle(&[0, 1]);
-    assert!(world.answers.contains_key(&Token(1)));
-    world.wipe(1, StoreId(99));
-    world.network.clear();
-    world
+    assert_eq!(sim.leader(), Some(0));
+    assert_eq!(sim.nodes[0].raft.members().0.len(), 4);
+    sim.event(0, Event::Edit(simulation::edit("first", 0), Token(1)));
+    sim.deliver_all(&[0, 1]);
+    assert!(sim.answers.contains_key(&Token(1)));
+    sim.wipe(1, StoreId(99));
+    sim.network.clear();
+    sim
 }
 
 #[test]
 fn explore_disk_lost() {
     let mut step = Step::new(disk_lost());
-    // One disk at a time: none but the lost one.
+    // Only one disk may be lost at a time, and one already is.
     step.crashes = 1;
     let count = explore_from(step, 8).unwrap();
     println!("{count} states from a lost disk to depth 8");
 }
 
-/// The only other copy is lost with the first one's disk: more than may be lost at once.
+/// The leader loses its entries as well, and with them the last copy of the edit. This is more than
+/// may be lost at once, so exploration has to find the loss.
 #[test]
 fn explore_two_disks_lost() {
-    let mut world = disk_lost();
-    world.fault = Fault::Forget;
-    world.crash(0);
-    let wrong = explore_from(Step::new(world), 8).unwrap_err();
-    assert!(wrong.starts_with("lost"), "{wrong}");
+    let mut sim = disk_lost();
+    sim.fault = Fault::LostEntries;
+    sim.crash(0);
+    let violation = explore_from(Step::new(sim), 8).unwrap_err();
+    assert!(violation.starts_with("lost"), "{violation}");
 }
 
 #[test]
 fn explore_fresh_stores() {
-    let count = explore(fresh(), 8).unwrap();
+    let count = explore(leaderless(), 8).unwrap();
     println!("{count} states from fresh stores to depth 8");
 }
 
@@ -212,14 +215,14 @@
 
 #[test]
 fn explore_forgotten_entries() {
-    let mut world = committed();
-    world.fault = Fault::Forget;
-    let wrong = explore(world, 7).unwrap_err();
-    assert!(wrong.starts_with("lost"), "{wrong}");
+    let mut sim = committed();
+    sim.fault = Fault::LostEntries;
+    let violation = explore(sim, 7).unwrap_err();
+    assert!(violation.starts_with("lost"), "{violation}");
 }
 
 #[test]
 fn explore_unsynced_vote() {
-    let wrong = explore(elected_with(Fault::Unsynced), 7).unwrap_err();
-    assert!(wrong.starts_with("two leaders"), "{wrong}");
+    let violation = explore(elected_with(Fault::UnsyncedVote), 7).unwrap_err();
+    assert!(violation.starts_with("two leaders"), "{violation}");
 }
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: damage, loss and locking.
+//! The data folder: corruption, lost files and locking.
 
 use std::{
     fs,
@@ -9,7 +9,7 @@
 use mimosausher_store::{
     Ballot,
     ClusterId,
-    Encoded,
+    EncodedSnapshot,
     Entry,
     Error,
     Folder,
@@ -48,7 +48,7 @@
     Folder::open(path, StoreId(5))
 }
 
-/// A folder with three synced batches, and the offsets where the first two of them end.
+/// A folder with three synced batches, and the end offsets of the first two.
 fn filled() -> (TempDir, [u64; 2]) {
     let folder = TempDir::new().unwrap();
     let (mut files, saved) = open(folder.path()).unwrap();
@@ -64,7 +64,7 @@
     (folder, [first, second])
 }
 
-fn change(path: &Path, offset: u64) {
+fn flip_bit(path: &Path, offset: u64) {
     let mut bytes = fs::read(path).unwrap();
     bytes[offset as usize] ^= 1;
     fs::write(path, bytes).unwrap();
@@ -111,7 +111,7 @@
     let whole = fs::read(&log).unwrap();
     for at in first..second {
         fs::write(&log, &whole).unwrap();
-        change(&log, at);
+        flip_bit(&log, at);
         match open(folder.path()) {
             Err(Error::Damaged { offset, path }) => {
                 assert_eq!((offset, &path), (first, &log), "byte {at}");
@@ -144,7 +144,7 @@
 #[test]
 fn open_other_format() {
     let (folder, _) = filled();
-    change(&folder.path().join("log"), 7);
+    flip_bit(&folder.path().join("log"), 7);
     let error = open(folder.path()).unwrap_err();
     assert!(matches!(error, Error::Damaged { offset: 0, .. }));
 }
@@ -163,7 +163,7 @@
 fn replace_snapshot() {
     let (folder, _) = filled();
     let (mut files, mut saved) = open(folder.path()).unwrap();
-    saved.snapshot = Some(Encoded {
+    saved.snapshot = Some(EncodedSnapshot {
         bytes: [1, 2, 3].into(),
         position: position(2),
     });
@@ -188,13 +188,13 @@
     let (mut files, mut saved) = open(folder.path()).unwrap();
     let log = folder.path().join("log");
     let before = fs::read(&log).unwrap();
-    saved.snapshot = Some(Encoded {
+    saved.snapshot = Some(EncodedSnapshot {
         bytes: [1, 2, 3].into(),
         position: position(2),
     });
     files.replace(&saved).unwrap();
     drop(files);
-    // The snapshot was put in place, the log was not.
+    // The snapshot has been replaced, but the log has not.
     fs::write(&log, before).unwrap();
     fs::write(folder.path().join("log.new"), b"part").unwrap();
     let (_, held) = open(folder.path()).unwrap();
--- a/crates/store/tests/raft.rs
+++ b/crates/store/tests/raft.rs
@@ -1,6 +1,6 @@
-//! The state machine of the log: elections, repair, snapshots and members.
+//! The Raft state machine: elections, log repair, snapshots and membership.
 
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
@@ -26,21 +26,21 @@
     SeedableRng as _, //
 };
 use rand_chacha::ChaCha8Rng;
-use world::{
-    World,
+use simulation::{
+    Simulation,
     edit,
     id,
     member, //
 };
 
-/// A world whose first store leads.
-fn led(count: usize, timing: Timing) -> World {
-    let mut world = World::new(count, timing);
+/// A simulation in which the first store leads.
+fn with_leader(count: usize, timing: Timing) -> Simulation {
+    let mut sim = Simulation::new(count, timing);
     let all: Vec<_> = (0..count).collect();
-    world.tick(0);
-    world.settle(&all);
-    assert_eq!(world.leader(), Some(0));
-    world
+    sim.tick(0);
+    sim.deliver_all(&all);
+    assert_eq!(sim.leader(), Some(0));
+    sim
 }
 
 fn accepted(number: u64) -> Answer {
@@ -50,166 +50,163 @@
     })
 }
 
-/// Lets the leader's heartbeats pass until the stores agree.
-fn beat(world: &mut World, numbers: &[usize]) {
+/// Runs some heartbeats of the leader, so that the followers catch up.
+fn heartbeats(sim: &mut Simulation, numbers: &[usize]) {
     for _ in 0..6 {
-        let leader = world.leader().unwrap();
-        world.tick(leader);
-        world.settle(numbers);
+        let leader = sim.leader().unwrap();
+        sim.tick(leader);
+        sim.deliver_all(numbers);
     }
 }
 
 #[test]
 fn elect_outdated_candidate() {
-    let mut world = led(3, Timing::new());
-    world.event(0, Event::Edit(edit("e1", 0), Token(1)));
-    world.settle(&[0, 1]);
-    world.crash(0);
-    world.crash(1);
-    world.tick(2);
-    world.settle(&[0, 1, 2]);
-    assert_eq!(world.leader(), None);
-    world.tick(1);
-    world.settle(&[0, 1, 2]);
-    assert_eq!(world.leader(), Some(1));
-    beat(&mut world, &[0, 1, 2]);
-    assert_eq!(world.nodes[2].raft.ledger().revision(), Revision(1));
+    let mut sim = with_leader(3, Timing::new());
+    sim.event(0, Event::Edit(edit("e1", 0), Token(1)));
+    sim.deliver_all(&[0, 1]);
+    sim.crash(0);
+    sim.crash(1);
+    sim.tick(2);
+    sim.deliver_all(&[0, 1, 2]);
+    assert_eq!(sim.leader(), None);
+    sim.tick(1);
+    sim.deliver_all(&[0, 1, 2]);
+    assert_eq!(sim.leader(), Some(1));
+    heartbeats(&mut sim, &[0, 1, 2]);
+    assert_eq!(sim.nodes[2].raft.ledger().revision(), Revision(1));
 }
 
 #[test]
 fn elect_cut_off_store() {
-    let mut world = led(3, Timing::new());
-    let term = world.nodes[2].raft.term();
+    let mut sim = with_leader(3, Timing::new());
+    let term = sim.nodes[2].raft.term();
     for _ in 0..10 {
-        world.tick(2);
-        world.network.clear();
+        sim.tick(2);
+        sim.network.clear();
     }
-    assert_eq!(world.nodes[2].raft.term(), term);
-    beat(&mut world, &[0, 1, 2]);
-    assert_eq!(
-        (world.leader(), world.nodes[0].raft.term()),
-        (Some(0), term)
-    );
+    assert_eq!(sim.nodes[2].raft.term(), term);
+    heartbeats(&mut sim, &[0, 1, 2]);
+    assert_eq!((sim.leader(), sim.nodes[0].raft.term()), (Some(0), term));
 }
 
 #[test]
 fn lead_without_quorum() {
-    let mut world = led(3, Timing::new());
-    world.event(0, Event::Edit(edit("e1", 0), Token(1)));
+    let mut sim = with_leader(3, Timing::new());
+    sim.event(0, Event::Edit(edit("e1", 0), Token(1)));
     for _ in 0..10 {
-        world.tick(0);
-        world.network.clear();
+        sim.tick(0);
+        sim.network.clear();
     }
-    assert_eq!(world.leader(), None);
-    let refused = |code, world: &World, token| match &world.answers[&Token(token)] {
+    assert_eq!(sim.leader(), None);
+    let refused = |code, sim: &Simulation, token| match &sim.answers[&Token(token)] {
         Answer::Refused(other, _) => assert_eq!(*other, code),
         other => panic!("{other:?}"),
     };
-    refused(Code::EditUnknown, &world, 1);
-    world.event(0, Event::Edit(edit("e2", 0), Token(2)));
-    refused(Code::NoLeader, &world, 2);
+    refused(Code::EditUnknown, &sim, 1);
+    sim.event(0, Event::Edit(edit("e2", 0), Token(2)));
+    refused(Code::NoLeader, &sim, 2);
 }
 
 #[test]
 fn edit_resent_after_snapshot() {
     let timing = Timing::new().with_snapshot(4);
-    let mut world = led(3, timing);
+    let mut sim = with_leader(3, timing);
     for number in 0..20 {
         let name = format!("e{number}");
-        world.event(0, Event::Edit(edit(&name, number), Token(number)));
-        world.settle(&[0, 1]);
-        assert_eq!(world.answers[&Token(number)], accepted(number + 1));
+        sim.event(0, Event::Edit(edit(&name, number), Token(number)));
+        sim.deliver_all(&[0, 1]);
+        assert_eq!(sim.answers[&Token(number)], accepted(number + 1));
     }
-    assert!(world.nodes[0].raft.log().base().index > Index(8));
-    beat(&mut world, &[0, 1, 2]);
-    assert_eq!(world.nodes[2].raft.ledger().revision(), Revision(20));
-    assert_eq!(world.nodes[2].raft.ledger().audit().len(), 20);
-    world.crash(2);
-    world.crash(0);
-    world.tick(2);
-    world.settle(&[0, 1, 2]);
-    beat(&mut world, &[0, 1, 2]);
-    assert_eq!(world.leader(), Some(2));
-    world.event(2, Event::Edit(edit("e3", 3), Token(100)));
-    world.settle(&[0, 1, 2]);
-    assert_eq!(world.answers[&Token(100)], accepted(4));
-    assert_eq!(world.nodes[2].raft.ledger().history("section").count(), 20);
+    assert!(sim.nodes[0].raft.log().base().index > Index(8));
+    heartbeats(&mut sim, &[0, 1, 2]);
+    assert_eq!(sim.nodes[2].raft.ledger().revision(), Revision(20));
+    assert_eq!(sim.nodes[2].raft.ledger().audit().len(), 20);
+    sim.crash(2);
+    sim.crash(0);
+    sim.tick(2);
+    sim.deliver_all(&[0, 1, 2]);
+    heartbeats(&mut sim, &[0, 1, 2]);
+    assert_eq!(sim.leader(), Some(2));
+    sim.event(2, Event::Edit(edit("e3", 3), Token(100)));
+    sim.deliver_all(&[0, 1, 2]);
+    assert_eq!(sim.answers[&Token(100)], accepted(4));
+    assert_eq!(sim.nodes[2].raft.ledger().history("section").count(), 20);
 }
 
 #[test]
 fn snapshot_many_parts() {
-    let mut world = led(3, Timing::new().with_snapshot(4));
+    let mut sim = with_leader(3, Timing::new().with_snapshot(4));
     for number in 0..12 {
         let mut large = edit(&format!("e{number}"), number);
         large.text = format!("team = \"t\"\n# {}\n", "x".repeat(100_000)).into();
-        world.event(0, Event::Edit(large, Token(number)));
-        world.settle(&[0, 1]);
+        sim.event(0, Event::Edit(large, Token(number)));
+        sim.deliver_all(&[0, 1]);
     }
-    assert!(world.nodes[0].saved.snapshot.as_ref().unwrap().bytes.len() > 512 * 1024);
-    beat(&mut world, &[0, 1, 2]);
-    assert_eq!(world.nodes[2].raft.ledger().revision(), Revision(12));
+    assert!(sim.nodes[0].saved.snapshot.as_ref().unwrap().bytes.len() > 512 * 1024);
+    heartbeats(&mut sim, &[0, 1, 2]);
+    assert_eq!(sim.nodes[2].raft.ledger().revision(), Revision(12));
 }
 
 #[test]
 fn change_one_at_a_time() {
-    let mut world = led(3, Timing::new());
-    let add = |world: &mut World, number: usize, token| {
+    let mut sim = with_leader(3, Timing::new());
+    let add = |sim: &mut Simulation, number: usize, token| {
         let change = Change::Add(member(number));
-        world.event(0, Event::Change(change, Token(token)));
+        sim.event(0, Event::Change(change, Token(token)));
     };
-    add(&mut world, 3, 1);
-    add(&mut world, 4, 2);
+    add(&mut sim, 3, 1);
+    add(&mut sim, 4, 2);
     assert!(matches!(
-        world.answers[&Token(2)],
+        sim.answers[&Token(2)],
         Answer::Refused(Code::MembersRefused, _)
     ));
-    world.settle(&[0, 1, 2]);
-    assert_eq!(world.answers[&Token(1)], Answer::Changed);
-    let members = world.nodes[1].raft.members();
+    sim.deliver_all(&[0, 1, 2]);
+    assert_eq!(sim.answers[&Token(1)], Answer::Changed);
+    let members = sim.nodes[1].raft.members();
     assert!(members.get(id(3)).is_some_and(|member| !member.voter));
-    world.event(0, Event::Change(Change::Remove("store-9".into()), Token(3)));
+    sim.event(0, Event::Change(Change::Remove("store-9".into()), Token(3)));
     assert!(matches!(
-        world.answers[&Token(3)],
+        sim.answers[&Token(3)],
         Answer::Refused(Code::MembersRefused, _)
     ));
 }
 
 #[test]
 fn change_wiped_store() {
-    let mut world = led(3, Timing::new());
-    world.event(0, Event::Edit(edit("e1", 0), Token(1)));
-    world.settle(&[0, 1]);
-    let stranger = StoreId(77);
-    world.wipe(1, stranger);
-    world.crash(0);
+    let mut sim = with_leader(3, Timing::new());
+    sim.event(0, Event::Edit(edit("e1", 0), Token(1)));
+    sim.deliver_all(&[0, 1]);
+    let new_id = StoreId(77);
+    sim.wipe(1, new_id);
+    sim.crash(0);
     for _ in 0..4 {
-        world.tick(1);
-        world.tick(2);
-        world.settle(&[1, 2]);
+        sim.tick(1);
+        sim.tick(2);
+        sim.deliver_all(&[1, 2]);
     }
-    assert_eq!(world.leader(), None, "the wiped store gave a vote");
-    world.tick(0);
-    world.settle(&[0, 1, 2]);
-    beat(&mut world, &[0, 1, 2]);
-    assert_eq!(world.leader(), Some(0));
-    world.event(0, Event::Change(Change::Remove("store-2".into()), Token(2)));
-    world.settle(&[0, 1, 2]);
-    assert_eq!(world.answers[&Token(2)], Answer::Changed);
+    assert_eq!(sim.leader(), None, "the wiped store gave a vote");
+    sim.tick(0);
+    sim.deliver_all(&[0, 1, 2]);
+    heartbeats(&mut sim, &[0, 1, 2]);
+    assert_eq!(sim.leader(), Some(0));
+    sim.event(0, Event::Change(Change::Remove("store-2".into()), Token(2)));
+    sim.deliver_all(&[0, 1, 2]);
+    assert_eq!(sim.answers[&Token(2)], Answer::Changed);
     let fresh = mimosausher_store::Member {
-        id: stranger,
+        id: new_id,
         ..member(1)
     };
-    world.event(0, Event::Change(Change::Add(fresh), Token(3)));
-    world.settle(&[0, 1, 2]);
-    beat(&mut world, &[0, 1, 2]);
-    assert_eq!(world.answers[&Token(3)], Answer::Changed);
-    assert!(world.nodes[1].raft.members().votes(stranger));
-    assert_eq!(world.nodes[1].raft.ledger().revision(), Revision(1));
+    sim.event(0, Event::Change(Change::Add(fresh), Token(3)));
+    sim.deliver_all(&[0, 1, 2]);
+    heartbeats(&mut sim, &[0, 1, 2]);
+    assert_eq!(sim.answers[&Token(3)], Answer::Changed);
+    assert!(sim.nodes[1].raft.members().is_voter(new_id));
+    assert_eq!(sim.nodes[1].raft.ledger().revision(), Revision(1));
 }
 
 #[test]
 fn receive_other_log() {
-    let mut world = led(3, Timing::new());
+    let mut sim = with_leader(3, Timing::new());
     let other = Message {
         body: Body::Vote {
             last: Position {
@@ -222,67 +219,67 @@
         term: Term(9),
         to: id(0),
     };
-    world.event(0, Event::Message(other));
-    assert_eq!(world.leader(), Some(0));
-    assert!(world.network.is_empty());
+    sim.event(0, Event::Message(other));
+    assert_eq!(sim.leader(), Some(0));
+    assert!(sim.network.is_empty());
 }
 
-/// One random run: messages are lost, doubled and reordered, stores are started again, and edits
-/// are resent with the same id until they are answered.
+/// A random run with lost, duplicated and reordered messages, restarts, and edits that are resent
+/// with the same id.
 fn run(seed: u64, count: usize) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut world = World::new(count, Timing::new().with_snapshot(8));
+    let mut sim = Simulation::new(count, Timing::new().with_snapshot(8));
     let mut token = 0;
     for _ in 0..6000 {
         let any = random.random_range(0..count);
-        let leader = world.leader().unwrap_or(any);
+        let leader = sim.leader().unwrap_or(any);
         let number = if random.random_bool(0.8) { leader } else { any };
         match random.random_range(0..200) {
-            0..180 if !world.network.is_empty() => {
-                let place = random.random_range(0..world.network.len());
+            0..180 if !sim.network.is_empty() => {
+                let index = random.random_range(0..sim.network.len());
                 match random.random_range(0..20) {
-                    0 => drop(world.network.swap_remove(place)),
-                    1 => world.network.push(world.network[place].clone()),
-                    _ => world.deliver(place),
+                    0 => drop(sim.network.swap_remove(index)),
+                    1 => sim.network.push(sim.network[index].clone()),
+                    _ => sim.deliver(index),
                 }
             }
-            0..188 => world.tick(number),
+            0..188 => sim.tick(number),
             188..199 => {
                 token += 1;
-                let base = world.nodes[number].raft.ledger().revision().0;
+                let base = sim.nodes[number].raft.ledger().revision().0;
                 let name = format!("e{}", random.random_range(0..200));
-                world.event(number, Event::Edit(edit(&name, base), Token(token)));
+                sim.event(number, Event::Edit(edit(&name, base), Token(token)));
             }
-            _ => world.crash(any),
+            _ => sim.crash(any),
         }
-        assert_eq!(world.wrong, None, "seed {seed}");
+        assert_eq!(sim.violation, None, "seed {seed}");
     }
-    heal(&mut world, count);
-    let first = world.nodes[0].raft.ledger();
-    for node in &world.nodes {
+    converge(&mut sim, count);
+    let first = sim.nodes[0].raft.ledger();
+    for node in &sim.nodes {
         assert_eq!(node.raft.ledger().audit(), first.audit(), "seed {seed}");
     }
     assert!(first.revision() > Revision(0), "seed {seed}");
 }
 
-/// Lets all messages pass until one store leads and all have applied the same.
-fn heal(world: &mut World, count: usize) {
+/// Delivers all messages until one store leads and all logs are equally long and committed.
+fn converge(sim: &mut Simulation, count: usize) {
     let all: Vec<_> = (0..count).collect();
     for _ in 0..1000 {
         for number in 0..count {
-            world.tick(number);
-            world.settle(&all);
+            sim.tick(number);
+            sim.deliver_all(&all);
         }
-        let commits = world.nodes.iter().map(|node| node.raft.commit());
-        let last = world.nodes.iter().map(|node| node.raft.log().last().index);
-        if world.leader().is_some()
+        let commits = sim.nodes.iter().map(|node| node.raft.commit());
+        let last = sim.nodes.iter().map(|node| node.raft.log().last().index);
+        if sim.leader().is_some()
             && commits.max() == last.clone().min()
             && last.clone().min() == last.max()
         {
             return;
         }
     }
-    panic!("the stores did not come to agree");
+    panic!("the stores did not converge");
 }
 
 #[test]
@@ -301,21 +298,21 @@
 
 #[test]
 fn commit_earlier_term() {
-    let mut world = led(3, Timing::new());
-    world.event(0, Event::Edit(edit("e1", 0), Token(1)));
-    let earlier = world.nodes[0].raft.log().last().index;
-    world.network.clear();
-    world.crash(0);
-    world.nodes[1].clock += Duration::from_secs(1);
-    world.tick(0);
-    while let Some(place) = world
+    let mut sim = with_leader(3, Timing::new());
+    sim.event(0, Event::Edit(edit("e1", 0), Token(1)));
+    let earlier = sim.nodes[0].raft.log().last().index;
+    sim.network.clear();
+    sim.crash(0);
+    sim.nodes[1].clock += Duration::from_secs(1);
+    sim.tick(0);
+    while let Some(index) = sim
         .network
         .iter()
         .position(|message| message.to != id(2) && !matches!(message.body, Body::Append { .. }))
     {
-        world.deliver(place);
+        sim.deliver(index);
     }
-    assert_eq!(world.leader(), Some(0));
+    assert_eq!(sim.leader(), Some(0));
     let held = Message {
         body: Body::Appended {
             matched: earlier,
@@ -323,20 +320,20 @@
         },
         cluster: mimosausher_store::ClusterId(7),
         from: id(1),
-        term: world.nodes[0].raft.term(),
+        term: sim.nodes[0].raft.term(),
         to: id(0),
     };
-    world.event(0, Event::Message(held));
-    assert!(world.nodes[0].raft.commit() < earlier);
+    sim.event(0, Event::Message(held));
+    assert!(sim.nodes[0].raft.commit() < earlier);
 }
 
 #[test]
 fn edit_twice_in_flight() {
-    let mut world = led(3, Timing::new());
-    world.event(0, Event::Edit(edit("e1", 0), Token(1)));
-    world.event(0, Event::Edit(edit("e1", 0), Token(2)));
-    world.settle(&[0, 1, 2]);
-    assert_eq!(world.answers[&Token(1)], accepted(1));
-    assert_eq!(world.answers[&Token(2)], accepted(1));
-    assert_eq!(world.nodes[0].raft.ledger().audit().len(), 1);
+    let mut sim = with_leader(3, Timing::new());
+    sim.event(0, Event::Edit(edit("e1", 0), Token(1)));
+    sim.event(0, Event::Edit(edit("e1", 0), Token(2)));
+    sim.deliver_all(&[0, 1, 2]);
+    assert_eq!(sim.answers[&Token(1)], accepted(1));
+    assert_eq!(sim.answers[&Token(2)], accepted(1));
+    assert_eq!(sim.nodes[0].raft.ledger().audit().len(), 1);
 }
--- a/crates/store/tests/simulation/mod.rs
+++ b/crates/store/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Stores in one process: their state machines, their disks and the messages between them.
+//! Simulated stores in one process: their state machines, disks and messages.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -41,18 +41,18 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-/// A fault that the checks have to find.
+/// An injected fault that the checks have to detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// A store that lost all entries but the first keeps its id.
-    Forget,
-    /// None.
+    /// A restarted store keeps its id, but loses all entries except the first.
+    LostEntries,
+    /// No fault.
     None,
-    /// A vote leaves before it is on disk.
-    Unsynced,
+    /// A vote is sent without being persisted.
+    UnsyncedVote,
 }
 
-/// One store with its disk and its own clock.
+/// A simulated store with its disk and clock.
 #[derive(Clone, Debug)]
 pub struct Node {
     pub clock: Duration,
@@ -60,20 +60,20 @@
     pub saved: Saved,
 }
 
-/// The stores and the messages between them.
+/// The simulated stores and the messages in flight.
 #[derive(Clone, Debug)]
-pub struct World {
+pub struct Simulation {
     pub answers: BTreeMap<Token, Answer>,
-    /// Committed entries.
-    pub chosen: BTreeMap<Index, Entry>,
+    /// Committed entries, by index.
+    pub committed: BTreeMap<Index, Entry>,
     pub fault: Fault,
-    /// Leaders by term.
+    /// Leaders, by term.
     pub leaders: BTreeMap<Term, StoreId>,
     pub network: Vec<Message>,
     pub nodes: Vec<Node>,
     pub timing: Timing,
-    /// What was found to be wrong.
-    pub wrong: Option<String>,
+    /// The last safety violation found.
+    pub violation: Option<String>,
 }
 
 pub fn id(number: usize) -> StoreId {
@@ -101,8 +101,8 @@
     }
 }
 
-impl World {
-    /// Stores that are voters already, at term 1.
+impl Simulation {
+    /// Creates stores that are all voters, at term 1.
     pub fn new(count: usize, timing: Timing) -> Self {
         let members = Members((0..count).map(member).collect());
         let saved = Saved {
@@ -120,45 +120,45 @@
             }],
             snapshot: None,
         };
-        let mut world = Self {
+        let mut sim = Self {
             answers: BTreeMap::new(),
-            chosen: BTreeMap::new(),
+            committed: BTreeMap::new(),
             fault: Fault::None,
             leaders: BTreeMap::new(),
             network: Vec::new(),
             nodes: Vec::new(),
             timing,
-            wrong: None,
+            violation: None,
         };
         for number in 0..count {
-            world.nodes.push(Node {
+            sim.nodes.push(Node {
                 clock: Duration::ZERO,
                 raft: raft(id(number), &saved, timing),
                 saved: saved.clone(),
             });
         }
-        world
+        sim
     }
 
-    /// Stores of which the first `founders` found a group at the same time.
+    /// Creates stores of which the first `founders` form a cluster at the same time.
     pub fn founded(count: usize, founders: usize, timing: Timing) -> Self {
-        let mut world = Self::new(0, timing);
+        let mut sim = Self::new(0, timing);
         let members = Members((0..founders).map(member).collect());
         for number in 0..count {
             let saved = Saved::default();
-            world.nodes.push(Node {
+            sim.nodes.push(Node {
                 clock: Duration::ZERO,
                 raft: raft(id(number), &saved, timing),
                 saved,
             });
             if number < founders {
-                world.event(number, Event::Found(ClusterId(7), members.clone()));
+                sim.event(number, Event::Found(ClusterId(7), members.clone()));
             }
         }
-        world
+        sim
     }
 
-    /// Tells all stores in which data centre each of them stands.
+    /// Reports the data centre of each store to all stores.
     pub fn locate(&mut self, centres: &[&str]) {
         for number in 0..self.nodes.len() {
             for (other, centre) in centres.iter().enumerate() {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Lets each store that is no member ask the leader to be taken in.
+    /// Sends the leader a join request from each store that needs to join.
     pub fn join(&mut self) {
         let Some(leader) = self.leader() else {
             return;
@@ -177,28 +177,28 @@
             let node = &self.nodes[number];
             let id = node.raft.id();
             if node.raft.needs_join(node.clock) {
-                let asking = Member {
+                let member = Member {
                     id,
                     ..member(number)
                 };
-                self.event(leader, Event::Join(asking));
+                self.event(leader, Event::Join(member));
             }
         }
     }
 
-    /// Lets messages, ticks and joins pass between some stores.
+    /// Runs rounds of ticks, joins and message deliveries among the given stores.
     pub fn run(&mut self, numbers: &[usize], rounds: usize) {
         for _ in 0..rounds {
             for number in numbers {
                 self.tick(*number);
-                self.settle(numbers);
+                self.deliver_all(numbers);
             }
             self.join();
-            self.settle(numbers);
+            self.deliver_all(numbers);
         }
     }
 
-    /// Gives an event to a store, carries out what it asks for, and checks.
+    /// Passes an event to a store, carries out the resulting actions and checks the store's state.
     pub fn event(&mut self, number: usize, event: Event) {
         let fault = self.fault;
         let node = &mut self.nodes[number];
@@ -208,7 +208,7 @@
                 Action::Answer(token, answer) => {
                     self.answers.insert(token, answer);
                 }
-                Action::Persist(Record::Ballot(_)) if fault == Fault::Unsynced => {}
+                Action::Persist(Record::Ballot(_)) if fault == Fault::UnsyncedVote => {}
                 Action::Persist(record) => {
                     node.saved.apply(record);
                     written = true;
@@ -227,24 +227,24 @@
         }
     }
 
-    /// Lets a store's next tick come.
+    /// Advances a store's clock to its next tick.
     pub fn tick(&mut self, number: usize) {
         let node = &mut self.nodes[number];
-        node.clock = node.clock.max(node.raft.due());
+        node.clock = node.clock.max(node.raft.next_tick());
         self.event(number, Event::Tick);
     }
 
-    /// Delivers a message.
-    pub fn deliver(&mut self, place: usize) {
-        let message = self.network.swap_remove(place);
+    /// Delivers the message at an index of the network queue.
+    pub fn deliver(&mut self, index: usize) {
+        let message = self.network.swap_remove(index);
         let to = message.to;
         if let Some(number) = self.nodes.iter().position(|node| node.raft.id() == to) {
             self.event(number, Event::Message(message));
         }
     }
 
-    /// Delivers all messages between the given stores, and drops the others.
-    pub fn settle(&mut self, numbers: &[usize]) {
+    /// Delivers all messages between the given stores and drops all others.
+    pub fn deliver_all(&mut self, numbers: &[usize]) {
         while let Some(message) = self.network.pop() {
             let known = |id| {
                 numbers
@@ -259,22 +259,22 @@
         }
     }
 
-    /// Starts a store again from its disk.
+    /// Crashes a store and restarts it from its disk.
     pub fn crash(&mut self, number: usize) {
         let node = &mut self.nodes[number];
         let own = node.raft.id();
-        if self.fault == Fault::Forget {
+        if self.fault == Fault::LostEntries {
             node.saved.entries.truncate(1);
         }
         node.raft = raft(own, &node.saved, self.timing);
         node.clock = Duration::ZERO;
     }
 
-    /// Starts a store again with an empty disk.
-    pub fn wipe(&mut self, number: usize, fresh: StoreId) {
+    /// Restarts a store with an empty disk and a new id.
+    pub fn wipe(&mut self, number: usize, new_id: StoreId) {
         let node = &mut self.nodes[number];
         node.saved = Saved::default();
-        node.raft = raft(fresh, &node.saved, self.timing);
+        node.raft = raft(new_id, &node.saved, self.timing);
         node.clock = Duration::ZERO;
     }
 
@@ -292,8 +292,8 @@
             node.raft.fingerprint(&mut hasher);
             node.saved.hash(&mut hasher);
         }
-        let messages: BTreeSet<u64> = self.network.iter().map(hash).collect();
-        (messages, &self.chosen, &self.leaders, &self.wrong).hash(&mut hasher);
+        let messages: BTreeSet<u64> = self.network.iter().map(message_hash).collect();
+        (messages, &self.committed, &self.leaders, &self.violation).hash(&mut hasher);
         hasher.finish()
     }
 
@@ -303,9 +303,9 @@
             if entry.position.index > raft.commit() {
                 break;
             }
-            let chosen = self.chosen.entry(entry.position.index);
-            if chosen.or_insert_with(|| entry.clone()) != entry {
-                self.wrong = Some(format!("changed: {entry:?}"));
+            let known = self.committed.entry(entry.position.index);
+            if known.or_insert_with(|| entry.clone()) != entry {
+                self.violation = Some(format!("changed: {entry:?}"));
             }
         }
         if !raft.leads() {
@@ -313,19 +313,19 @@
         }
         let known = *self.leaders.entry(raft.term()).or_insert(raft.id());
         if known != raft.id() {
-            self.wrong = Some(format!("two leaders in {:?}", raft.term()));
+            self.violation = Some(format!("two leaders in {:?}", raft.term()));
         }
-        for (index, entry) in &self.chosen {
+        for (index, entry) in &self.committed {
             let lost = *index > raft.log().base().index && raft.log().get(*index) != Some(entry);
-            // A former leader that has not heard of its successor yet may lack entries.
+            // A former leader may lack entries until it learns of its successor.
             if lost && self.leaders.keys().max() == Some(&raft.term()) {
-                self.wrong = Some(format!("lost: {entry:?}"));
+                self.violation = Some(format!("lost: {entry:?}"));
             }
         }
     }
 }
 
-fn hash(message: &Message) -> u64 {
+fn message_hash(message: &Message) -> u64 {
     let mut hasher = DefaultHasher::new();
     message.hash(&mut hasher);
     hasher.finish()
