--- a/crates/process/src/guarded.rs
+++ b/crates/process/src/checked_stream.rs
@@ -1,4 +1,4 @@
-//! A caller's connection whose framing is checked before it is parsed.
+//! A client connection whose request framing is validated before hyper parses it.
 
 use std::{
     io,
@@ -18,76 +18,77 @@
     Write, //
 };
 
-use crate::framing::Framing;
+use crate::framing::FramingChecker;
 
-/// Bytes that are read at once.
+/// Size of the read buffer.
 const READ_BYTES: usize = 8 * 1024;
 
-/// A caller's connection whose framing is checked before it is parsed.
+/// A client connection whose request framing is validated before hyper parses it.
 #[derive(Debug)]
-pub struct Guarded<S> {
-    framing: Framing,
+pub struct CheckedStream<S> {
+    framing: FramingChecker,
     stream: S,
-    /// Checked bytes that are not delivered yet, and how many of them are.
+    /// Validated bytes and how many of them have been delivered.
     ready: (Vec<u8>, usize),
 }
 
-impl<S> Guarded<S> {
-    /// Creates the check of a new connection.
+impl<S> CheckedStream<S> {
+    /// Wraps a new connection.
     pub const fn new(stream: S) -> Self {
         Self {
-            framing: Framing::new(),
+            framing: FramingChecker::new(),
             ready: (Vec::new(), 0),
             stream,
         }
     }
 
-    /// Delivers checked bytes; returns whether there were any.
+    /// Copies validated bytes to the reader; returns whether there were any.
     fn deliver(&mut self, cursor: &mut ReadBufCursor<'_>) -> bool {
-        let (bytes, done) = &mut self.ready;
-        let rest = bytes.get(*done..).unwrap_or_default();
+        let (bytes, delivered) = &mut self.ready;
+        let rest = bytes.get(*delivered..).unwrap_or_default();
         let count = rest.len().min(cursor.remaining());
-        let (now, _) = rest.split_at(count);
-        cursor.put_slice(now);
-        *done += count;
-        if *done >= bytes.len() {
+        let (chunk, _) = rest.split_at(count);
+        cursor.put_slice(chunk);
+        *delivered += count;
+        if *delivered >= bytes.len() {
             bytes.clear();
-            *done = 0;
+            *delivered = 0;
         }
         count > 0
     }
 }
 
-impl<S: Read + Unpin> Read for Guarded<S> {
+impl<S: Read + Unpin> Read for CheckedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         mut cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let own = &mut *self;
+        let this = &mut *self;
         loop {
-            if own.deliver(&mut cursor) || cursor.remaining() == 0 {
+            if this.deliver(&mut cursor) || cursor.remaining() == 0 {
                 return Poll::Ready(Ok(()));
             }
-            if own.framing.refused() {
-                // The refusal closes the connection; its end must not come before that.
+            if this.framing.rejected() {
+                // The response to the rejected request closes the connection; no end of file may be
+                // reported before that.
                 return Poll::Pending;
             }
             let mut bytes = [MaybeUninit::uninit(); READ_BYTES];
             let mut buffer = ReadBuf::uninit(&mut bytes);
-            ready!(Pin::new(&mut own.stream).poll_read(context, buffer.unfilled()))?;
+            ready!(Pin::new(&mut this.stream).poll_read(context, buffer.unfilled()))?;
             let filled = buffer.filled();
             if filled.is_empty() {
                 return Poll::Ready(Ok(()));
             }
-            own.framing
-                .feed(filled, &mut own.ready.0)
+            this.framing
+                .feed(filled, &mut this.ready.0)
                 .map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?;
         }
     }
 }
 
-impl<S: Write + Unpin> Write for Guarded<S> {
+impl<S: Write + Unpin> Write for CheckedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/process/src/code_label.rs
+++ b/crates/process/src/code_label.rs
@@ -1,13 +1,13 @@
-//! The label of counters by result code.
+//! The metric label for result codes.
 
 use codes::Code;
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// The label of counters by result code.
+/// The label of counters kept per result code.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(EncodeLabelSet)]
 pub struct CodeLabel {
-    /// Number of the code.
+    /// Number of the result code.
     pub code: u16,
 }
 
--- a/crates/process/src/epoch.rs
+++ b/crates/process/src/epoch.rs
@@ -1,8 +1,8 @@
-//! The time of day.
+//! Wall-clock time.
 
 use std::time::SystemTime;
 
-/// Milliseconds since the Unix epoch; 0 while the clock is set to an earlier time.
+/// Milliseconds since the Unix epoch; 0 if the clock is set before it.
 pub fn epoch_millis() -> u64 {
     SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/process/src/head.rs
+++ b/crates/process/src/head.rs
@@ -1,25 +1,25 @@
-//! Checks the headers of a request for what two readers could understand differently.
+//! Validation of request headers that two parsers could read differently.
 
-/// How the length of a request's body is given.
+/// How the length of a request body is determined.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Body {
-    /// In chunks.
+pub enum BodyLength {
+    /// By chunked transfer encoding.
     Chunked,
-    /// As a number of bytes.
+    /// By `Content-Length`, in bytes; 0 without the header.
     Length(u64),
 }
 
-/// Checks headers that are whole, the empty line at their end among them; none if they are refused.
-pub fn check(head: &[u8]) -> Option<Body> {
+/// Checks a complete request head with the empty line at its end; none if it is rejected.
+pub fn check(head: &[u8]) -> Option<BodyLength> {
     let head = std::str::from_utf8(head).ok()?;
     let head = head.strip_suffix("\r\n\r\n")?;
     let mut lines = head.split("\r\n");
-    let first = lines.next()?;
+    let request_line = lines.next()?;
     let (mut length, mut chunked, mut hosts) = (None, false, 0);
-    for line in std::iter::once(first).chain(lines.clone()) {
+    for line in std::iter::once(request_line).chain(lines.clone()) {
         if line
             .chars()
-            .any(|letter| letter.is_control() && letter != '\t')
+            .any(|character| character.is_control() && character != '\t')
         {
             return None;
         }
@@ -32,7 +32,7 @@
         let value = value.trim_matches([' ', '\t']);
         match name.to_ascii_lowercase().as_str() {
             "content-length" if length.is_some() => return None,
-            "content-length" => length = Some(number(value)?),
+            "content-length" => length = Some(parse_digits(value)?),
             "host" if hosts > 0 => return None,
             "host" => hosts += 1,
             "transfer-encoding" if chunked || !value.eq_ignore_ascii_case("chunked") => {
@@ -43,14 +43,14 @@
         }
     }
     match (length, chunked) {
-        (None, true) if first.ends_with("HTTP/1.1") => Some(Body::Chunked),
+        (None, true) if request_line.ends_with("HTTP/1.1") => Some(BodyLength::Chunked),
         (_, true) => None,
-        (length, false) => Some(Body::Length(length.unwrap_or_default())),
+        (length, false) => Some(BodyLength::Length(length.unwrap_or_default())),
     }
 }
 
-/// A number of decimal digits only.
-fn number(text: &str) -> Option<u64> {
+/// Parses a number that consists of decimal digits only.
+fn parse_digits(text: &str) -> Option<u64> {
     let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     digits.then(|| text.parse().ok()).flatten()
 }
--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -1,9 +1,9 @@
-//! What every program shares: the signals, the planned stop, the HTTP server and labels of metrics.
+//! Code shared by the programs: signals, graceful shutdown, the HTTP server and metric labels.
 
+mod checked_stream;
 mod code_label;
 mod epoch;
 mod framing;
-mod guarded;
 mod head;
 mod query;
 mod server;
--- a/crates/process/src/server.rs
+++ b/crates/process/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 server that both HTTP faces run on.
+//! An HTTP/1.1 server with graceful shutdown.
 
 use std::{
     cell::Cell,
@@ -43,80 +43,81 @@
 };
 
 use crate::{
+    checked_stream::CheckedStream,
     framing::HEADER_BYTES,
-    guarded::Guarded,
     stop::Stop, //
 };
 
-/// Time that a caller has to send a request's headers.
+/// Time that a client has to send a request's headers or to complete the TLS handshake.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time after the begin of a planned stop in which connections are still taken and kept, so that
-/// callers and the fabric can turn to other instances; each answer closes its connection.
-const LEAVE: Duration = Duration::from_secs(1);
+/// Time after the start of a graceful shutdown during which connections are still accepted and kept
+/// open, so that clients and the fabric can switch to other instances. Each response of that time
+/// closes its connection.
+const DRAIN_DELAY: Duration = Duration::from_secs(1);
 
-/// Connections that are taken after that at most.
-const LAST_ACCEPTS: usize = 1024;
+/// Maximum number of connections accepted from the backlog after [`DRAIN_DELAY`].
+const BACKLOG_LIMIT: usize = 1024;
 
-/// Time without a new connection after which none waits to be accepted any more.
-const LAST_ACCEPT: Duration = Duration::from_millis(20);
+/// Time without a new connection after which the accept backlog counts as empty.
+const BACKLOG_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Pause after a failure to accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed attempt to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Address of the other end of a connection; an extension of each request.
+/// Remote address of a connection, available as an extension of each request.
 #[derive(Clone, Copy, Debug)]
 pub struct Peer(pub SocketAddr);
 
-/// Answers the requests of one face.
+/// Handles the requests of one HTTP server.
 pub trait Handler {
-    /// Body of the answers.
+    /// Body of the responses.
     type Body: Body<Data = hyper::body::Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + 'static;
 
-    /// TLS of the face; none for plain HTTP.
+    /// Returns the server's TLS acceptor; none for plain HTTP.
     fn acceptor(&self) -> Option<TlsAcceptor> {
         None
     }
 
-    /// Answers one request.
+    /// Handles one request.
     fn handle(
         &self,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<Self::Body>> + 'static;
 }
 
-/// Counts the open connections of a face, so that a stop can wait for them.
+/// Counts the open connections of a server, so that a shutdown can wait for them.
 #[derive(Debug, Default)]
-struct Open {
+struct OpenConnections {
     closed: Event,
     count: Cell<usize>,
 }
 
-impl Open {
-    /// Counts a connection out.
+impl OpenConnections {
+    /// Records that a connection has closed.
     fn close(&self) {
         self.count.set(self.count.get() - 1);
         self.closed.notify(usize::MAX);
     }
 }
 
-/// Accepts and answers until the planned stop; returns when all begun requests are answered.
+/// Serves requests until the graceful shutdown; returns when all connections are closed.
 pub async fn serve<H: Handler + Clone + 'static>(
     stop: Rc<Stop>,
     listener: TcpListener,
     handler: H,
 ) {
-    let open = Rc::new(Open::default());
+    let open = Rc::new(OpenConnections::default());
     loop {
-        let accepted = match select(pin!(listener.accept()), pin!(leave(&stop))).await {
+        let accepted = match select(pin!(listener.accept()), pin!(wait_drain_delay(&stop))).await {
             Either::Left((accepted, _)) => accepted,
             Either::Right(_) => break,
         };
-        take(&stop, &open, accepted, &handler).await;
+        handle_accepted(&stop, &open, accepted, &handler).await;
     }
-    for _ in 0..LAST_ACCEPTS {
-        match compio::time::timeout(LAST_ACCEPT, listener.accept()).await {
-            Ok(accepted) => take(&stop, &open, accepted, &handler).await,
+    for _ in 0..BACKLOG_LIMIT {
+        match compio::time::timeout(BACKLOG_TIMEOUT, listener.accept()).await {
+            Ok(accepted) => handle_accepted(&stop, &open, accepted, &handler).await,
             Err(_) => break,
         }
     }
@@ -129,16 +130,16 @@
     }
 }
 
-/// Waits until a planned stop has gone on for so long that callers know of it.
-async fn leave(stop: &Stop) {
+/// Waits until a graceful shutdown has begun and [`DRAIN_DELAY`] has passed since.
+async fn wait_drain_delay(stop: &Stop) {
     stop.wait().await;
-    let since = stop.since().map_or(LEAVE, |since| since.elapsed());
-    compio::time::sleep(LEAVE.saturating_sub(since)).await;
+    let since = stop.since().map_or(DRAIN_DELAY, |since| since.elapsed());
+    compio::time::sleep(DRAIN_DELAY.saturating_sub(since)).await;
 }
 
-async fn take<H: Handler + Clone + 'static>(
+async fn handle_accepted<H: Handler + Clone + 'static>(
     stop: &Rc<Stop>,
-    open: &Rc<Open>,
+    open: &Rc<OpenConnections>,
     accepted: io::Result<(TcpStream, SocketAddr)>,
     handler: &H,
 ) {
@@ -146,46 +147,46 @@
         Ok((stream, peer)) => {
             open.count.set(open.count.get() + 1);
             let (stop, open) = (stop.clone(), open.clone());
-            let task = connection(stop, open, stream, Peer(peer), handler.clone());
+            let task = serve_connection(stop, open, stream, Peer(peer), handler.clone());
             compio::runtime::spawn(task).detach();
         }
         Err(error) => {
-            log::warn!("a connection could not be accepted: {error}");
-            compio::time::sleep(ACCEPT_PAUSE).await;
+            log::warn!("cannot accept a connection: {error}");
+            compio::time::sleep(ACCEPT_RETRY_DELAY).await;
         }
     }
 }
 
-async fn connection<H: Handler + 'static>(
+async fn serve_connection<H: Handler + 'static>(
     stop: Rc<Stop>,
-    open: Rc<Open>,
+    open: Rc<OpenConnections>,
     stream: TcpStream,
     peer: Peer,
     handler: H,
 ) {
     let service = service_fn(|mut request: Request<Incoming>| {
         request.extensions_mut().insert(peer);
-        let answer = handler.handle(request);
+        let response = handler.handle(request);
         let stop = stop.clone();
         async move {
-            let mut answer = answer.await;
+            let mut response = response.await;
             if stop.begun() {
                 let close = HeaderValue::from_static("close");
-                answer.headers_mut().insert(CONNECTION, close);
+                response.headers_mut().insert(CONNECTION, close);
             }
-            Ok::<_, Infallible>(answer)
+            Ok::<_, Infallible>(response)
         }
     });
-    let Some(stream) = secure(stream, handler.acceptor()).await else {
+    let Some(stream) = accept_tls(stream, handler.acceptor()).await else {
         return open.close();
     };
     let connection = Builder::new()
         .timer(CompioTimer)
         .header_read_timeout(HEADER_TIMEOUT)
         .max_buf_size(HEADER_BYTES)
-        .serve_connection(Guarded::new(stream), service);
+        .serve_connection(CheckedStream::new(stream), service);
     let mut connection = pin!(connection);
-    let result = match select(connection.as_mut(), pin!(leave(&stop))).await {
+    let result = match select(connection.as_mut(), pin!(wait_drain_delay(&stop))).await {
         Either::Left((result, _)) => result,
         Either::Right(_) => {
             connection.as_mut().graceful_shutdown();
@@ -193,13 +194,13 @@
         }
     };
     if let Err(error) = result {
-        log::debug!("a connection ended early: {error}");
+        log::debug!("connection closed with an error: {error}");
     }
     open.close();
 }
 
-/// The stream as the face's TLS makes it; none if the caller does not complete the handshake.
-async fn secure(
+/// Performs the TLS handshake if the server has an acceptor; none if it fails or times out.
+async fn accept_tls(
     stream: TcpStream,
     acceptor: Option<TlsAcceptor>,
 ) -> Option<HyperStream<TcpStream>> {
@@ -209,7 +210,7 @@
     match compio::time::timeout(HEADER_TIMEOUT, acceptor.accept(stream)).await {
         Ok(Ok(stream)) => Some(HyperStream::new_tls(stream)),
         Ok(Err(error)) => {
-            log::debug!("a caller did not complete the TLS handshake: {error}");
+            log::debug!("TLS handshake failed: {error}");
             None
         }
         Err(_) => None,
--- a/crates/process/src/signals.rs
+++ b/crates/process/src/signals.rs
@@ -1,8 +1,8 @@
-//! The signals that a program takes.
+//! Handling of Unix signals.
 
 use std::{
     io,
-    os::unix::net::UnixStream as Pair,
+    os::unix::net::UnixStream as StdUnixStream,
     sync::{
         Arc,
         atomic::{
@@ -27,41 +27,42 @@
     low_level::pipe, //
 };
 
-/// What a signal asks for.
+/// A signal that a program acts on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Signal {
-    /// To read the settings again (SIGHUP).
+    /// Reload the settings (SIGHUP).
     Reload,
-    /// To begin a planned stop (SIGTERM).
+    /// Begin a graceful shutdown (SIGTERM).
     Stop,
 }
 
-/// The handlers of the signals, which need no runtime.
+/// The installed signal handlers, which need no async runtime.
 ///
-/// They stay for as long as the process lives, so that a later signal never ends it.
+/// They stay installed until the process exits, so that a later signal never terminates it.
 #[derive(Debug)]
 pub struct Handlers {
-    reader: Pair,
+    reader: StdUnixStream,
     reload: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
 }
 
 impl Handlers {
-    /// Takes all such signals from now on. A process does this first: a signal that comes earlier
-    /// ends it.
+    /// Installs the handlers. A process calls this first: a signal that arrives earlier terminates
+    /// it.
     ///
     /// # Errors
     ///
-    /// What the system reported.
+    /// The system error.
     pub fn new() -> io::Result<Self> {
-        let (reader, writer) = Pair::pair()?;
+        let (reader, writer) = StdUnixStream::pair()?;
         let (reload, stop) = (Arc::default(), Arc::default());
-        // The flags come first: a byte in the stream is never read before its flag is up.
+        // The flags are registered first, so that a flag is set before its wake-up byte is read.
         flag::register(SIGHUP, Arc::clone(&reload))?;
         flag::register(SIGTERM, Arc::clone(&stop))?;
         pipe::register(SIGHUP, writer.try_clone()?)?;
         pipe::register(SIGTERM, writer)?;
-        // With a handler, a write behind a file's largest size fails and does not end the process.
+        // With a SIGXFSZ handler, a write beyond the file size limit returns an error instead of
+        // terminating the process.
         flag::register(SIGXFSZ, Arc::default())?;
         Ok(Self {
             reader,
@@ -71,7 +72,7 @@
     }
 }
 
-/// The signals that came; such of one kind that come together count as one.
+/// The received signals; several pending signals of one kind are reported once.
 #[derive(Debug)]
 pub struct Signals {
     reload: Arc<AtomicBool>,
@@ -80,11 +81,12 @@
 }
 
 impl Signals {
-    /// Reads what the handlers take, also what they took before. Needs a running runtime.
+    /// Creates the receiver, which also reports signals caught since [`Handlers::new`]. Needs a
+    /// running runtime.
     ///
     /// # Errors
     ///
-    /// What the system reported.
+    /// The system error.
     pub fn new(handlers: Handlers) -> io::Result<Self> {
         Ok(Self {
             reload: handlers.reload,
@@ -93,11 +95,11 @@
         })
     }
 
-    /// Waits for the next signal; a stop goes before a reload.
+    /// Waits for the next signal; a stop takes precedence over a reload.
     ///
     /// # Errors
     ///
-    /// What the system reported.
+    /// The system error.
     pub async fn next(&mut self) -> io::Result<Signal> {
         loop {
             if self.stop.swap(false, Ordering::SeqCst) {
--- a/crates/process/src/stop.rs
+++ b/crates/process/src/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop.
+//! Graceful shutdown.
 
 use std::{
     cell::Cell,
@@ -7,7 +7,7 @@
 
 use event_listener::Event;
 
-/// Tells all tasks of the process that a planned stop has begun.
+/// Notifies all tasks of the process when a graceful shutdown begins.
 #[derive(Debug, Default)]
 pub struct Stop {
     begun: Cell<Option<Instant>>,
@@ -15,7 +15,7 @@
 }
 
 impl Stop {
-    /// Begins the stop; a second call changes nothing.
+    /// Begins the shutdown; later calls keep the time of the first.
     pub fn begin(&self) {
         if !self.begun() {
             self.begun.set(Some(Instant::now()));
@@ -23,17 +23,17 @@
         self.event.notify(usize::MAX);
     }
 
-    /// When the stop began.
+    /// Time at which the shutdown began.
     pub const fn since(&self) -> Option<Instant> {
         self.begun.get()
     }
 
-    /// Whether the stop has begun.
+    /// Whether the shutdown has begun.
     pub fn begun(&self) -> bool {
         self.begun.get().is_some()
     }
 
-    /// Waits until the stop begins.
+    /// Waits until the shutdown begins.
     pub async fn wait(&self) {
         while !self.begun() {
             let listener = self.event.listen();
