--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! The HTTP face for operators, endpoints and monitors.
+//! The admin HTTP interface for operators, endpoints and monitoring.
 
 use std::rc::Rc;
 
@@ -32,37 +32,37 @@
 };
 
 use crate::{
-    auth::Caller,
+    auth::Principal,
     convert_change,
     datagrams,
     endpoints,
-    members::{
+    error_response::ErrorResponse,
+    log_members::{
         self,
-        Refused, //
+        RefusedRequest, //
     },
     node::Node,
-    operators,
-    refusal::Refusal,
+    operator_api,
     status, //
 };
 
-/// Largest body that this face takes, in bytes.
+/// Maximum size of a request body, in bytes.
 const BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Answers operators, endpoints and monitors.
+/// Handles the requests of operators, endpoints and monitoring.
 #[derive(Clone, Debug)]
-pub struct Admin {
+pub struct AdminHandler {
     node: Rc<Node>,
 }
 
-impl Admin {
-    /// Creates the face of a node.
+impl AdminHandler {
+    /// Creates the handler of a node.
     pub const fn new(node: Rc<Node>) -> Self {
         Self { node }
     }
 }
 
-impl Handler for Admin {
+impl Handler for AdminHandler {
     type Body = Full<Bytes>;
 
     fn acceptor(&self) -> Option<TlsAcceptor> {
@@ -78,9 +78,9 @@
 }
 
 async fn route(node: Rc<Node>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let caller = match node.auth.permit(&request) {
-        Ok(caller) => caller,
-        Err(refusal) => return forbid(&node, &refusal),
+    let principal = match node.auth.authorize(&request) {
+        Ok(principal) => principal,
+        Err(error) => return respond_unauthorized(&node, &error),
     };
     let uri = request.uri().clone();
     let path = uri.path().to_owned();
@@ -89,108 +89,120 @@
         (&Method::GET, "/metrics") => text(StatusCode::OK, &node.metrics.text()),
         (&Method::GET, "/readyz") if node.ready() => text(StatusCode::OK, "ready\n"),
         (&Method::GET, "/readyz") => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        (&Method::GET, "/v1/audit") => page(&node, operators::audit(&node, &uri).await),
-        (&Method::GET, "/v1/document") => {
-            json(&convert_change::texts(&node.known.configuration.borrow()))
-        }
+        (&Method::GET, "/v1/audit") => read_response(&node, operator_api::audit(&node, &uri).await),
+        (&Method::GET, "/v1/document") => json(&convert_change::sections_to_wire(
+            &node.view.configuration.borrow(),
+        )),
         (&Method::GET, "/v1/endpoints") => json(&endpoints::page(&node)),
-        (&Method::GET, "/v1/history") => page(&node, operators::history(&node, &uri).await),
-        (&Method::GET, "/v1/members") => answer(&node, members::show(&node)),
+        (&Method::GET, "/v1/history") => {
+            read_response(&node, operator_api::history(&node, &uri).await)
+        }
+        (&Method::GET, "/v1/members") => members_response(&node, log_members::show(&node)),
         (&Method::GET, "/v1/overview") => json(&status::overview(&node).await),
         (&Method::GET, "/v1/status") => json(&status::page(&node)),
-        (&Method::GET, "/v1/watch") => json(&operators::watch(&node, &uri).await),
+        (&Method::GET, "/v1/watch") => json(&operator_api::watch(&node, &uri).await),
         (&Method::POST, "/v1/announcements") => announce(&node, request).await,
-        (&Method::POST, "/v1/edits") => edit(&node, caller, request).await,
-        (&Method::POST, "/v1/init") => match read(request, Code::SyntaxInvalid).await {
-            Ok(init) => answer(&node, members::init(&node, init).await),
-            Err(refusal) => refuse(&node, Code::SyntaxInvalid, refusal),
+        (&Method::POST, "/v1/edits") => edit(&node, principal, request).await,
+        (&Method::POST, "/v1/init") => match read_json(request, Code::SyntaxInvalid).await {
+            Ok(init) => members_response(&node, log_members::init(&node, init).await),
+            Err(error) => respond_error(&node, Code::SyntaxInvalid, error),
         },
-        (&Method::POST, "/v1/members") => match read(request, Code::SyntaxInvalid).await {
-            Ok(change) => answer(&node, members::change(&node, change).await),
-            Err(refusal) => refuse(&node, Code::SyntaxInvalid, refusal),
+        (&Method::POST, "/v1/members") => match read_json(request, Code::SyntaxInvalid).await {
+            Ok(change) => members_response(&node, log_members::change(&node, change).await),
+            Err(error) => respond_error(&node, Code::SyntaxInvalid, error),
         },
         _ => text(StatusCode::NOT_FOUND, "no such page\n"),
     }
 }
 
-/// Answers a call on the stores of the log.
-fn answer(node: &Node, result: Result<LogMembers, Refused>) -> Response<Full<Bytes>> {
+/// Responds to a request about the members of the log.
+fn members_response(
+    node: &Node,
+    result: Result<LogMembers, RefusedRequest>,
+) -> Response<Full<Bytes>> {
     let (code, advice) = match result {
         Ok(members) => return json(&members),
         Err(refused) => refused,
     };
-    node.metrics.refuse(code);
+    node.metrics.count_refusal(code);
     let status = match code {
         Code::MembersRefused => StatusCode::CONFLICT,
         Code::ValueInvalid => StatusCode::BAD_REQUEST,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    Refusal::new(code, advice).response(status)
+    ErrorResponse::new(code, advice).response(status)
 }
 
 async fn announce(node: &Node, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let code = Code::AnnouncementMalformed;
-    let announcement: Announcement = match read(request, code).await {
+    let announcement: Announcement = match read_json(request, code).await {
         Ok(announcement) => announcement,
-        Err(refusal) => return refuse(node, code, refusal),
+        Err(error) => return respond_error(node, code, error),
     };
     let name = announcement.name.clone();
     match datagrams::announce(node, announcement).await {
         Ok(_) => text(StatusCode::NO_CONTENT, ""),
-        Err(code) => refuse(node, code, Refusal::new(code, &*name)),
+        Err(code) => respond_error(node, code, ErrorResponse::new(code, &*name)),
     }
 }
 
 async fn edit(
     node: &Rc<Node>,
-    caller: Caller,
+    principal: Principal,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let code = Code::SyntaxInvalid;
-    match read::<Edit>(request, code).await {
-        Ok(edit) => json(&operators::edit(node, caller, edit).await),
-        Err(refusal) => refuse(node, code, refusal),
+    match read_json::<Edit>(request, code).await {
+        Ok(edit) => json(&operator_api::edit(node, principal, edit).await),
+        Err(error) => respond_error(node, code, error),
     }
 }
 
-/// Refuses a caller whose key is missing or does not suffice.
-fn forbid(node: &Node, refusal: &Refusal) -> Response<Full<Bytes>> {
-    let status = match refusal.code == Code::Unauthenticated.number() {
+/// Rejects a client whose key is missing or lacks the permission.
+fn respond_unauthorized(node: &Node, error: &ErrorResponse) -> Response<Full<Bytes>> {
+    let status = match error.code == Code::Unauthenticated.number() {
         true => StatusCode::UNAUTHORIZED,
         false => StatusCode::FORBIDDEN,
     };
-    node.metrics.refuse_number(refusal.code);
-    log::info!(code = refusal.code; "refused: {}", refusal.advice);
-    refusal.response(status)
+    node.metrics.count_refusal_number(error.code);
+    log::info!(code = error.code; "refused: {}", error.advice);
+    error.response(status)
 }
 
-/// Answers with a page that may have been refused.
-fn page<T: Serialize>(node: &Node, page: Result<T, Refusal>) -> Response<Full<Bytes>> {
-    match page {
-        Ok(page) => json(&page),
-        Err(refusal) => {
-            let status = match refusal.code == Code::NoLeader.number() {
+/// Responds to a read with its result or its error.
+fn read_response<T: Serialize>(
+    node: &Node,
+    result: Result<T, ErrorResponse>,
+) -> Response<Full<Bytes>> {
+    match result {
+        Ok(value) => json(&value),
+        Err(error) => {
+            let status = match error.code == Code::NoLeader.number() {
                 true => StatusCode::SERVICE_UNAVAILABLE,
                 false => StatusCode::NOT_FOUND,
             };
-            node.metrics.refuse_number(refusal.code);
-            refusal.response(status)
+            node.metrics.count_refusal_number(error.code);
+            error.response(status)
         }
     }
 }
 
-async fn read<T: DeserializeOwned>(request: Request<Incoming>, code: Code) -> Result<T, Refusal> {
+async fn read_json<T: DeserializeOwned>(
+    request: Request<Incoming>,
+    code: Code,
+) -> Result<T, ErrorResponse> {
     let body = Limited::new(request.into_body(), BODY_BYTES)
         .collect()
         .await
-        .map_err(|error| Refusal::new(code, error.to_string()))?;
-    serde_json::from_slice(&body.to_bytes()).map_err(|error| Refusal::new(code, error.to_string()))
+        .map_err(|error| ErrorResponse::new(code, error.to_string()))?;
+    serde_json::from_slice(&body.to_bytes())
+        .map_err(|error| ErrorResponse::new(code, error.to_string()))
 }
 
-fn refuse(node: &Node, code: Code, refusal: Refusal) -> Response<Full<Bytes>> {
-    node.metrics.refuse(code);
-    log::info!(code = code.number(); "refused: {}", refusal.advice);
-    refusal.response(StatusCode::BAD_REQUEST)
+fn respond_error(node: &Node, code: Code, error: ErrorResponse) -> Response<Full<Bytes>> {
+    node.metrics.count_refusal(code);
+    log::info!(code = code.number(); "refused: {}", error.advice);
+    error.response(StatusCode::BAD_REQUEST)
 }
 
 fn json<T: Serialize>(value: &T) -> Response<Full<Bytes>> {
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending a request to endpoints until it is answered or may have run.
+//! Sends a request to endpoints until one answers it or it may have run.
 
 use std::{
     net::SocketAddr,
@@ -16,62 +16,66 @@
 };
 
 use crate::{
-    connections::Sender,
-    job::Job,
+    connections::RequestSender,
+    error_response::RUN_HEADER,
     node::Node,
-    refusal::RUN_HEADER,
-    refused::Refused,
+    parsed_request::ParsedRequest,
+    request_error::RequestError,
     slot::Slot,
-    tracked::Tracked, //
+    tracked_body::TrackedBody, //
 };
 
-/// Time after which a connection that is not made is given up.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What became of one attempt.
+/// Result of one attempt.
 enum Attempt {
-    /// The endpoint answers.
-    Answered(SocketAddr, Sender, Response<Incoming>),
-    /// It did not answer by the deadline; the request may have run.
+    /// The endpoint answered.
+    Answered(SocketAddr, RequestSender, Response<Incoming>),
+    /// The endpoint did not answer by the deadline; the request may have run.
     Late,
-    /// It was lost after the request was sent; the request may have run.
+    /// The connection was lost after the request was sent; the request may have run.
     Lost,
     /// The request did not run.
     NotRun(Outcome),
 }
 
-/// Runs a request: places it, sends it, and places it again as long as it did not run.
+/// Places a request on an endpoint and sends it, and retries on another one as long as it did not
+/// run.
 ///
 /// # Errors
 ///
-/// Why it is refused; the code says whether it may have run.
-pub async fn run(node: &Rc<Node>, mut job: Job) -> Result<Response<Tracked>, Refused> {
-    let (mut slot, mut key) = Slot::admit(&node.dispatch, &job.service, job.deadline).await?;
+/// The reason for which it is refused; the code says whether it may have run.
+pub async fn run(
+    node: &Rc<Node>,
+    mut parsed: ParsedRequest,
+) -> Result<Response<TrackedBody>, RequestError> {
+    let (mut slot, mut key) = Slot::admit(&node.pools, &parsed.service, parsed.deadline).await?;
     loop {
-        match send(node, &mut job, key).await {
+        match send(node, &mut parsed, key).await {
             Attempt::Answered(address, sender, response) => {
                 return Ok(response.map(|body| {
-                    Tracked::new(node.connections.clone(), slot, address, sender, body)
+                    TrackedBody::new(node.connections.clone(), slot, address, sender, body)
                 }));
             }
             Attempt::Late => {
-                slot.end(Outcome::Lost);
+                slot.finish(Outcome::Lost);
                 return Err(Code::EndpointLate.into());
             }
             Attempt::Lost => {
-                slot.end(Outcome::Lost);
+                slot.finish(Outcome::Lost);
                 return Err(Code::EndpointLost.into());
             }
-            Attempt::NotRun(_) if job.body.is_none() => return Err(Code::RequestShed.into()),
-            Attempt::NotRun(outcome) => key = slot.again(outcome).await?,
+            Attempt::NotRun(_) if parsed.body.is_none() => return Err(Code::RequestShed.into()),
+            Attempt::NotRun(outcome) => key = slot.place_again(outcome).await?,
         }
     }
 }
 
-/// Sends the request on an idle connection, or on a new one if that turns out to be closed.
-async fn send(node: &Rc<Node>, job: &mut Job, key: EndpointKey) -> Attempt {
+/// Sends the request on an idle connection, or on a new one if the idle ones are closed.
+async fn send(node: &Rc<Node>, parsed: &mut ParsedRequest, key: EndpointKey) -> Attempt {
     let address = node
-        .known
+        .view
         .directory
         .borrow()
         .get(key)
@@ -84,42 +88,51 @@
         let reused = idle.is_some();
         let sender = match idle {
             Some(sender) => sender,
-            None => match open(node, job, address).await {
+            None => match connect(node, parsed, address).await {
                 Some(sender) => sender,
                 None => return Attempt::NotRun(Outcome::Unreachable),
             },
         };
-        match exchange(node, job, address, sender).await {
-            // An idle connection that was closed in the meantime took nothing of the request.
-            Attempt::NotRun(Outcome::Unreachable) if reused && job.body.is_some() => {}
+        match send_on(node, parsed, address, sender).await {
+            // Nothing of the request was sent on an idle connection that had been closed.
+            Attempt::NotRun(Outcome::Unreachable) if reused && parsed.body.is_some() => {}
             attempt => return attempt,
         }
     }
 }
 
-async fn open(node: &Node, job: &Job, address: SocketAddr) -> Option<Sender> {
-    let left = job.deadline.saturating_sub(node.now());
-    let open = node.connections.open(address);
-    match compio::time::timeout(left.min(CONNECT_TIMEOUT), open).await {
+async fn connect(
+    node: &Node,
+    parsed: &ParsedRequest,
+    address: SocketAddr,
+) -> Option<RequestSender> {
+    let left = parsed.deadline.saturating_sub(node.now());
+    let connecting = node.connections.open(address);
+    match compio::time::timeout(left.min(CONNECT_TIMEOUT), connecting).await {
         Ok(Ok(sender)) => Some(sender),
         Ok(Err(_)) | Err(_) => None,
     }
 }
 
-async fn exchange(node: &Node, job: &mut Job, address: SocketAddr, mut sender: Sender) -> Attempt {
-    let left = job.deadline.saturating_sub(node.now());
-    let Some(request) = job.request(left) else {
+async fn send_on(
+    node: &Node,
+    parsed: &mut ParsedRequest,
+    address: SocketAddr,
+    mut sender: RequestSender,
+) -> Attempt {
+    let left = parsed.deadline.saturating_sub(node.now());
+    let Some(request) = parsed.request(left) else {
         return Attempt::NotRun(Outcome::Shed);
     };
     match compio::time::timeout(left, sender.try_send_request(request)).await {
-        Ok(Ok(response)) if refused(&response) => {
-            // The answer to what did not run is not read: its connection is closed.
+        Ok(Ok(response)) if refused_before_running(&response) => {
+            // The response is not read, which closes the connection.
             Attempt::NotRun(Outcome::Shed)
         }
         Ok(Ok(response)) => Attempt::Answered(address, sender, response),
         Ok(Err(mut error)) => match error.take_message() {
             Some(unsent) => {
-                job.body.get_or_insert(unsent.into_body());
+                parsed.body.get_or_insert(unsent.into_body());
                 Attempt::NotRun(Outcome::Unreachable)
             }
             None => Attempt::Lost,
@@ -128,8 +141,8 @@
     }
 }
 
-/// Whether an endpoint says that it refused the request before it ran.
-fn refused(response: &Response<Incoming>) -> bool {
+/// Whether the response says that the endpoint refused the request before it ran.
+fn refused_before_running(response: &Response<Incoming>) -> bool {
     let run = response.headers().get(RUN_HEADER);
     response.status() == StatusCode::SERVICE_UNAVAILABLE && run.is_some_and(|run| run == "not")
 }
--- a/crates/daemon/src/auth.rs
+++ b/crates/daemon/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who may call the operators' interface.
+//! Authentication and authorisation of operator API requests.
 
 use std::{
     fs,
@@ -39,30 +39,30 @@
 
 use crate::{
     error::Error,
-    refusal::Refusal, //
+    error_response::ErrorResponse, //
 };
 
-/// Who calls.
+/// Who sends a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Caller {
+pub enum Principal {
     /// The holder of a key.
-    Holder(Holder),
-    /// Someone on this machine, who may do all, at an instance without keys.
+    KeyHolder(Holder),
+    /// A client on this machine, which may do everything, at an instance without keys.
     Local,
-    /// Someone else, who may read, at an instance without keys.
+    /// Any other client, which may only read, at an instance without keys.
     Remote,
 }
 
-/// What a page needs.
+/// Permission that a request needs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Right {
+enum Permission {
     Edit,
     Manage,
     None,
     Read,
 }
 
-/// The keys and the certificate of the operators' interface.
+/// Keys and TLS configuration of the operator API.
 #[derive(Clone, Debug)]
 pub struct Auth {
     keys: Option<Keys>,
@@ -70,93 +70,95 @@
 }
 
 impl Auth {
-    /// Reads the files that the settings name.
+    /// Reads the key and certificate files that the settings name.
     ///
     /// # Errors
     ///
-    /// The refusal of a file.
+    /// The error of the first file that cannot be used.
     pub fn open(settings: &Settings) -> Result<Self, Error> {
         let keys = settings.keys.as_deref().map(Keys::read).transpose()?;
-        let tls = settings.tls.as_ref().map(config).transpose()?;
+        let tls = settings.tls.as_ref().map(tls_config).transpose()?;
         Ok(Self { keys, tls })
     }
 
-    /// TLS of the face; none for plain HTTP.
+    /// Returns the TLS acceptor; none for plain HTTP.
     pub fn acceptor(&self) -> Option<TlsAcceptor> {
         self.tls.clone().map(TlsAcceptor::from)
     }
 
-    /// Tells who calls, and whether the caller may do what the request asks for.
+    /// Authenticates the sender of a request and checks its permission.
     ///
     /// # Errors
     ///
-    /// The refusal that the caller gets.
-    pub fn permit<B>(&self, request: &Request<B>) -> Result<Caller, Refusal> {
-        let right = right(request.method(), request.uri().path());
-        let caller = match self.caller(request) {
-            Some(caller) => caller,
-            None if right == Right::None => Caller::Remote,
+    /// The error response for the client.
+    pub fn authorize<B>(&self, request: &Request<B>) -> Result<Principal, ErrorResponse> {
+        let permission = required_permission(request.method(), request.uri().path());
+        let principal = match self.principal(request) {
+            Some(principal) => principal,
+            None if permission == Permission::None => Principal::Remote,
             None => {
                 let advice = "the header `authorization` has no known key";
-                return Err(Refusal::new(Code::Unauthenticated, advice));
+                return Err(ErrorResponse::new(Code::Unauthenticated, advice));
             }
         };
-        match (right, &caller) {
-            (Right::Edit | Right::Manage, Caller::Remote) => {
+        match (permission, &principal) {
+            (Permission::Edit | Permission::Manage, Principal::Remote) => {
                 let advice = "an instance without keys takes changes from loopback addresses only";
-                Err(Refusal::new(Code::Unauthenticated, advice))
+                Err(ErrorResponse::new(Code::Unauthenticated, advice))
             }
-            (Right::Manage, Caller::Holder(Holder::Team(team))) => {
+            (Permission::Manage, Principal::KeyHolder(Holder::Team(team))) => {
                 let advice = format!("the key of team `{team}` is not an admin's");
-                Err(Refusal::new(Code::EditForbidden, advice))
+                Err(ErrorResponse::new(Code::EditForbidden, advice))
+            }
+            (Permission::Edit | Permission::Manage | Permission::None | Permission::Read, _) => {
+                Ok(principal)
             }
-            (Right::Edit | Right::Manage | Right::None | Right::Read, _) => Ok(caller),
         }
     }
 
-    /// The caller; none if a key is needed and none fits.
-    fn caller<B>(&self, request: &Request<B>) -> Option<Caller> {
+    /// Returns the sender of a request; none if a key is required and no known key is given.
+    fn principal<B>(&self, request: &Request<B>) -> Option<Principal> {
         let Some(keys) = &self.keys else {
             let peer = request.extensions().get::<Peer>();
-            return match peer.is_some_and(|Peer(address)| local(address.ip())) {
-                true => Some(Caller::Local),
-                false => Some(Caller::Remote),
+            return match peer.is_some_and(|Peer(address)| is_local(address.ip())) {
+                true => Some(Principal::Local),
+                false => Some(Principal::Remote),
             };
         };
         let header = request.headers().get(AUTHORIZATION)?.to_str().ok()?;
         let hash = digest(&SHA256, header.strip_prefix("Bearer ")?.as_bytes());
         let mut found = None;
-        // Every key is compared, so that the time tells nothing about which one fits.
+        // All keys are compared, so that the response time does not reveal which one matches.
         for key in &keys.keys {
             if bool::from(key.digest.ct_eq(hash.as_ref())) {
-                found = Some(Caller::Holder(key.holder.clone()));
+                found = Some(Principal::KeyHolder(key.holder.clone()));
             }
         }
         found
     }
 }
 
-/// The right that a page needs.
-fn right(method: &Method, path: &str) -> Right {
+/// Returns the permission that a request needs.
+fn required_permission(method: &Method, path: &str) -> Permission {
     match (method, path) {
-        (_, "/v1/announcements") => Right::None,
-        (&Method::GET, path) if path.starts_with("/v1/") => Right::Read,
-        (_, "/v1/edits") => Right::Edit,
-        (_, path) if path.starts_with("/v1/") => Right::Manage,
-        _ => Right::None,
+        (_, "/v1/announcements") => Permission::None,
+        (&Method::GET, path) if path.starts_with("/v1/") => Permission::Read,
+        (_, "/v1/edits") => Permission::Edit,
+        (_, path) if path.starts_with("/v1/") => Permission::Manage,
+        _ => Permission::None,
     }
 }
 
-fn local(ip: IpAddr) -> bool {
+fn is_local(ip: IpAddr) -> bool {
     ip.to_canonical().is_loopback()
 }
 
-fn config(tls: &Tls) -> Result<Arc<ServerConfig>, Error> {
-    let chain = pem(&tls.certificate)?;
+fn tls_config(tls: &Tls) -> Result<Arc<ServerConfig>, Error> {
+    let chain = read_file(&tls.certificate)?;
     let certificates = CertificateDer::pem_slice_iter(&chain).collect::<Result<Vec<_>, _>>();
-    let certificates = certificates.map_err(|cause| file(&tls.certificate, cause))?;
-    let key = PrivateKeyDer::from_pem_slice(&pem(&tls.key)?);
-    let key = key.map_err(|cause| file(&tls.key, cause))?;
+    let certificates = certificates.map_err(|cause| file_error(&tls.certificate, cause))?;
+    let key = PrivateKeyDer::from_pem_slice(&read_file(&tls.key)?);
+    let key = key.map_err(|cause| file_error(&tls.key, cause))?;
     let config = ServerConfig::builder_with_provider(Arc::new(default_provider()))
         .with_safe_default_protocol_versions()
         .and_then(|builder| {
@@ -164,15 +166,15 @@
                 .with_no_client_auth()
                 .with_single_cert(certificates, key)
         })
-        .map_err(|cause| file(&tls.certificate, cause))?;
+        .map_err(|cause| file_error(&tls.certificate, cause))?;
     Ok(Arc::new(config))
 }
 
-fn pem(path: &Path) -> Result<Vec<u8>, Error> {
-    fs::read(path).map_err(|cause| file(path, cause))
+fn read_file(path: &Path) -> Result<Vec<u8>, Error> {
+    fs::read(path).map_err(|cause| file_error(path, cause))
 }
 
-fn file(path: &Path, cause: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Error {
+fn file_error(path: &Path, cause: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Error {
     Error::File {
         cause: io::Error::other(cause),
         path: path.into(),
--- a/crates/daemon/src/candidates.rs
+++ b/crates/daemon/src/candidates.rs
@@ -1,4 +1,4 @@
-//! The endpoints and limits of a service, as its pool takes them.
+//! The endpoints and limits of a service in the form that its pool takes.
 
 use std::time::Duration;
 
@@ -8,32 +8,32 @@
     Limits, //
 };
 
-use crate::known::Known;
+use crate::local_view::LocalView;
 
-/// Weight at which an endpoint is given all its slots.
+/// Weight from which on all slots of an endpoint are used.
 const FULL_WEIGHT: u32 = 100;
 
-/// Limits and endpoints of a service; none if the document in force does not have it.
-pub fn candidates(known: &Known, name: &str) -> Option<(Limits, Vec<Candidate<EndpointKey>>)> {
-    let configuration = known.configuration.borrow();
+/// Returns a service's limits and endpoints; none if the document in force does not define it.
+pub fn candidates(view: &LocalView, name: &str) -> Option<(Limits, Vec<Candidate<EndpointKey>>)> {
+    let configuration = view.configuration.borrow();
     let service = configuration.service(name)?;
-    let directory = known.directory.borrow();
-    let now = known.now();
+    let directory = view.directory.borrow();
+    let now = view.now();
     let candidates = directory
         .by_service(&service.name)
         .filter(|(key, endpoint)| directory.takes(now, *key) && service.allows(&endpoint.name))
         .map(|(key, endpoint)| Candidate {
             key,
             reported: endpoint.load,
-            slots: share(endpoint.slots, service.weight(&endpoint.name)),
+            slots: weighted_slots(endpoint.slots, service.weight(&endpoint.name)),
         })
         .filter(|candidate| candidate.slots > 0)
         .collect();
     Some((limits(service), candidates))
 }
 
-/// The slots that an endpoint of a weight is given; a weight of 0 gives none.
-fn share(slots: u16, weight: u32) -> u16 {
+/// Scales an endpoint's slots by its weight, rounding up; a weight of 0 gives no slots.
+fn weighted_slots(slots: u16, weight: u32) -> u16 {
     match weight {
         0 => 0,
         weight if weight >= FULL_WEIGHT => slots,
--- a/crates/daemon/src/claims.rs
+++ b/crates/daemon/src/claims.rs
@@ -32,74 +32,74 @@
 use settings::Settings;
 
 use crate::{
-    clients::Clients,
     convert_claims,
-    known::Known,
+    local_view::LocalView,
     pending::{
         Pending,
-        Untold, //
+        PendingCount, //
     },
+    rpc_clients::RpcClients, //
 };
 
-/// Time after which a holder that does not reply is given up.
+/// Time limit for a holder to reply.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The same for all claims of a holder, which are more than one packet.
+/// Time limit for a holder to send all its claims, which take more than one packet.
 const RECORDS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Attempts to tell a holder how a request ended.
+/// Attempts to report the outcome of a request to a holder.
 const SETTLE_ATTEMPTS: u32 = 4;
 
-/// Time after the first document in which the other entries become known; keys are not claimed
-/// earlier.
-const START: Duration = Duration::from_millis(1_500);
+/// Time after the first document during which no key is claimed, so that the other entries become
+/// known first.
+const CLAIM_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks at the membership.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Interval at which the membership is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// This entry's part in the claims.
+/// This entry's own claims, and the claims that it holds for other entries.
 #[derive(Debug)]
 pub struct Claims {
-    clients: Clients,
+    clients: RpcClients,
     holder: RefCell<Holder>,
     instance: settings::Instance,
-    known: Rc<Known>,
-    opened: Cell<Option<Duration>>,
+    view: Rc<LocalView>,
+    first_document: Cell<Option<Duration>>,
     ring: RefCell<Ring>,
     seeds: Box<[SocketAddr]>,
     serial: Cell<u64>,
-    /// Whether all claims on this entry's keys are known, as others see it.
-    settled: Gauge,
-    untold: Rc<Untold>,
+    /// Gauge that is 1 while all claims on this entry's keys are known, and 0 otherwise.
+    known_gauge: Gauge,
+    unreported: Rc<PendingCount>,
 }
 
 impl Claims {
-    /// Creates the part of an entry, which may have missed earlier claims.
-    pub fn new(known: Rc<Known>, settings: &Settings, settled: Gauge) -> Self {
+    /// Creates the state of a new entry, which may have missed earlier claims.
+    pub fn new(view: Rc<LocalView>, settings: &Settings, known_gauge: Gauge) -> Self {
         let retention = Duration::from_millis(settings::KEEP_MS);
         let holder = Holder::new(Duration::ZERO, &settings.instance.name, retention);
         Self {
-            clients: Clients::new(known.clone()),
+            clients: RpcClients::new(view.clone()),
             holder: RefCell::new(holder),
             instance: settings.instance.clone(),
-            known,
-            opened: Cell::new(None),
+            view,
+            first_document: Cell::new(None),
             ring: RefCell::new(Ring::new()),
             seeds: settings.seeds.clone(),
             serial: Cell::new(0),
-            settled,
-            untold: Rc::default(),
+            known_gauge,
+            unreported: Rc::default(),
         }
     }
 
-    /// Counts a request until the holders of its key are told how it ended.
+    /// Counts a request as pending until its outcome is reported to the holders of its key.
     pub fn pending(&self) -> Pending {
-        Pending::new(self.untold.clone())
+        Pending::new(self.unreported.clone())
     }
 
-    /// Waits for a while until the holders are told how all requests ended.
-    pub async fn idle(&self) {
-        self.untold.none().await;
+    /// Waits for a limited time until the outcomes of all requests are reported.
+    pub async fn wait_reported(&self) {
+        self.unreported.wait_reported().await;
     }
 
     /// Creates a new claim of this entry.
@@ -109,7 +109,7 @@
         Claim {
             id: ClaimId {
                 claimant: self.instance.name.clone(),
-                incarnation: self.known.incarnation(),
+                incarnation: self.view.incarnation(),
                 serial,
             },
             key,
@@ -117,29 +117,30 @@
         }
     }
 
-    /// Follows the membership and takes claims over from other holders until the process ends;
-    /// `asked` says whether the stores have told already if any document was ever in force.
-    pub async fn maintain(self: Rc<Self>, mut asked: bool) {
+    /// Tracks the membership and imports claims from other holders until the process ends;
+    /// `unused_known` says whether a store has already answered
+    /// [`query_unused`](Self::query_unused).
+    pub async fn maintain(self: Rc<Self>, mut unused_known: bool) {
         loop {
             self.refresh();
-            if !asked {
-                asked = self.ask_unused().await;
+            if !unused_known {
+                unused_known = self.query_unused().await;
             }
-            let wants = self.holder.borrow().wants(self.known.now());
+            let wants = self.holder.borrow().wants(self.view.now());
             if wants {
-                self.take_over().await;
+                self.import_claims().await;
             }
-            let settled = self.holder.borrow().settled(self.known.now());
-            self.settled.set(i64::from(settled));
-            compio::time::sleep(PAUSE).await;
+            let settled = self.holder.borrow().settled(self.view.now());
+            self.known_gauge.set(i64::from(settled));
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Asks the holders of a key for it.
+    /// Requests a claim from the holders of its key.
     pub async fn claim(self: &Rc<Self>, claim: &Claim) -> Verdict {
         self.refresh();
-        let opened = self.opened.get();
-        if opened.is_none_or(|opened| self.known.now() < opened + START) {
+        let first_document = self.first_document.get();
+        if first_document.is_none_or(|since| self.view.now() < since + CLAIM_DELAY) {
             return Verdict::Unknown;
         }
         let (holders, quorum) = {
@@ -150,11 +151,11 @@
         let mut vote = Vote::new(holders.len(), quorum);
         let mut replies: FuturesUnordered<_> = holders
             .into_iter()
-            .map(|member| self.clone().ask(member, claim.clone()))
+            .map(|member| self.clone().send_claim(member, claim.clone()))
             .collect();
         while let Some(reply) = replies.next().await {
             if let Some(verdict) = vote.reply(reply) {
-                // The others are still asked, so that as many holders as possible know the claim.
+                // The other calls continue, so that as many holders as possible record the claim.
                 compio::runtime::spawn(async move { while replies.next().await.is_some() {} })
                     .detach();
                 return verdict;
@@ -163,14 +164,14 @@
         vote.last()
     }
 
-    /// Tells the holders of a key how its request ended.
+    /// Reports the outcome of a request to the holders of its key.
     pub fn settle(self: &Rc<Self>, claim: &Claim, settled: &Settled) {
         let ring = self.ring.borrow();
         for member in ring.holders(&claim.key) {
             let pending = self.pending();
             let task = self
                 .clone()
-                .tell(member.clone(), claim.clone(), settled.clone());
+                .send_outcome(member.clone(), claim.clone(), settled.clone());
             compio::runtime::spawn(async move {
                 task.await;
                 drop(pending);
@@ -180,36 +181,36 @@
     }
 
     /// Replies to a claim as one of its holders.
-    pub fn reply(&self, claim: Claim) -> Reply {
+    pub fn handle_claim(&self, claim: Claim) -> Reply {
         self.refresh();
-        self.holder.borrow_mut().claim(self.known.now(), claim)
+        self.holder.borrow_mut().claim(self.view.now(), claim)
     }
 
-    /// Takes in how the request of a claim ended, as one of its holders.
-    pub fn settled(&self, claim: &Claim, settled: Settled) {
+    /// Records the outcome of a claim's request, as one of its holders.
+    pub fn record_settled(&self, claim: &Claim, settled: Settled) {
         let mut holder = self.holder.borrow_mut();
         holder.settle(&claim.key, &claim.id, settled);
     }
 
-    /// All claims, for a new holder.
+    /// Returns all claims for a new holder; none while this entry may have missed some.
     pub fn records(&self) -> Option<Vec<Record>> {
         self.refresh();
-        self.holder.borrow().records(self.known.now())
+        self.holder.borrow().records(self.view.now())
     }
 
-    /// Whether the process that made a claim is still known.
-    pub fn present(&self, id: &ClaimId) -> bool {
+    /// Whether the process that made a claim is still a member.
+    pub fn claimant_present(&self, id: &ClaimId) -> bool {
         let ring = self.ring.borrow();
         ring.member(&id.claimant)
             .is_some_and(|member| member.incarnation == id.incarnation)
     }
 
-    /// Asks the stores whether any document was ever in force; returns whether one of them knew.
+    /// Queries the stores whether any document was ever in force; returns whether one of them knew.
     ///
-    /// If there was none, no request can have run, and this entry has missed no claim.
-    pub async fn ask_unused(&self) -> bool {
+    /// If there was none, no request can have run, so this entry has missed no claim.
+    pub async fn query_unused(&self) -> bool {
         let stores: BTreeSet<SocketAddr> = {
-            let members = self.known.members.borrow();
+            let members = self.view.members.borrow();
             let stores = members.iter().filter(|member| member.store);
             let stores = stores.map(|member| member.inner);
             stores.chain(self.seeds.iter().copied()).collect()
@@ -231,8 +232,8 @@
     }
 
     fn refresh(&self) {
-        let configuration = self.known.configuration.borrow();
-        let members = self.known.members.borrow();
+        let configuration = self.view.configuration.borrow();
+        let members = self.view.members.borrow();
         let own = Member {
             centre: self.instance.centre.clone(),
             incarnation: members.own().incarnation,
@@ -247,48 +248,48 @@
                 name: member.name.clone(),
             });
         let ring = self.ring.borrow().with_members(others.chain([own]));
-        if self.opened.get().is_none() && configuration.revision() > 0 {
-            self.opened.set(Some(self.known.now()));
+        if self.first_document.get().is_none() && configuration.revision() > 0 {
+            self.first_document.set(Some(self.view.now()));
         }
         let mut holder = self.holder.borrow_mut();
         holder.retain(configuration.retention());
-        holder.view(self.known.now(), ring.clone());
+        holder.view(self.view.now(), ring.clone());
         *self.ring.borrow_mut() = ring;
     }
 
-    async fn ask(self: Rc<Self>, member: Member, claim: Claim) -> Option<Reply> {
+    async fn send_claim(self: Rc<Self>, member: Member, claim: Claim) -> Option<Reply> {
         if member.name == self.instance.name {
-            return Some(self.reply(claim));
+            return Some(self.handle_claim(claim));
         }
-        let claim = convert_claims::claim(claim);
+        let claim = convert_claims::claim_to_wire(claim);
         let reply = self
             .clients
             .call(&member.name, CALL_TIMEOUT, async |client, context| {
                 client.claim(context, claim).await
             });
-        reply.await.map(convert_claims::reply)
+        reply.await.map(convert_claims::reply_from_wire)
     }
 
-    async fn tell(self: Rc<Self>, member: Member, claim: Claim, settled: Settled) {
+    async fn send_outcome(self: Rc<Self>, member: Member, claim: Claim, settled: Settled) {
         if member.name == self.instance.name {
-            return self.settled(&claim, settled);
+            return self.record_settled(&claim, settled);
         }
-        let claim = convert_claims::claim(claim);
-        let end = convert_claims::end(settled);
+        let claim = convert_claims::claim_to_wire(claim);
+        let end = convert_claims::settled_to_wire(settled);
         for _ in 0..SETTLE_ATTEMPTS {
-            let told = self
+            let reply = self
                 .clients
                 .call(&member.name, CALL_TIMEOUT, async |client, context| {
                     client.settle(context, claim.clone(), end.clone()).await
                 });
-            if told.await.is_some() {
+            if reply.await.is_some() {
                 break;
             }
         }
     }
 
-    /// Takes the claims of all other entries over that know all claims on their keys.
-    async fn take_over(&self) {
+    /// Imports the claims of all other entries that know all claims on their keys.
+    async fn import_claims(&self) {
         let others: Vec<Box<str>> = {
             let ring = self.ring.borrow();
             let others = ring.members().map(|member| member.name.clone());
@@ -301,9 +302,12 @@
                     client.claims(context).await
                 });
             if let Some(Some(records)) = records.await {
-                let records = records.into_iter().map(convert_claims::record).collect();
+                let records = records
+                    .into_iter()
+                    .map(convert_claims::record_from_wire)
+                    .collect();
                 let mut holder = self.holder.borrow_mut();
-                holder.take(self.known.now(), &name, records);
+                holder.take(self.view.now(), &name, records);
             }
         }
     }
--- a/crates/daemon/src/connections.rs
+++ b/crates/daemon/src/connections.rs
@@ -14,23 +14,23 @@
     handshake, //
 };
 
-use crate::upload::Upload;
+use crate::request_body::RequestBody;
 
-/// The connection that a request is sent on.
-pub type Sender = SendRequest<Upload>;
+/// Sends requests on one connection.
+pub type RequestSender = SendRequest<RequestBody>;
 
-/// Most idle connections kept to one endpoint.
-const IDLE_CONNECTIONS: usize = 32;
+/// Maximum number of idle connections kept to one endpoint.
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
 /// Idle connections to endpoints, by address.
 #[derive(Debug, Default)]
 pub struct Connections {
-    idle: RefCell<BTreeMap<SocketAddr, Vec<Sender>>>,
+    idle: RefCell<BTreeMap<SocketAddr, Vec<RequestSender>>>,
 }
 
 impl Connections {
-    /// Takes an idle connection that is still open.
-    pub fn take(&self, address: SocketAddr) -> Option<Sender> {
+    /// Takes an idle connection that is still open, if there is one.
+    pub fn take(&self, address: SocketAddr) -> Option<RequestSender> {
         let mut idle = self.idle.borrow_mut();
         let senders = idle.get_mut(&address)?;
         while let Some(sender) = senders.pop() {
@@ -41,11 +41,11 @@
         None
     }
 
-    /// Keeps a connection for a later request, if it is open.
-    pub fn keep(&self, address: SocketAddr, sender: Sender) {
+    /// Keeps an open connection for a later request, up to [`MAX_IDLE_CONNECTIONS`].
+    pub fn keep(&self, address: SocketAddr, sender: RequestSender) {
         let mut idle = self.idle.borrow_mut();
         let senders = idle.entry(address).or_default();
-        if !sender.is_closed() && senders.len() < IDLE_CONNECTIONS {
+        if !sender.is_closed() && senders.len() < MAX_IDLE_CONNECTIONS {
             senders.push(sender);
         }
     }
@@ -54,15 +54,15 @@
     ///
     /// # Errors
     ///
-    /// What the system reported; nothing of a request has been sent.
-    pub async fn open(&self, address: SocketAddr) -> io::Result<Sender> {
+    /// The system error; nothing of a request has been sent.
+    pub async fn open(&self, address: SocketAddr) -> io::Result<RequestSender> {
         let stream = TcpStream::connect(address).await?;
         let (sender, connection) = handshake(HyperStream::new_plain(stream))
             .await
             .map_err(io::Error::other)?;
         compio::runtime::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!("a connection to {address} ended early: {error}");
+                log::debug!("connection to {address} closed with an error: {error}");
             }
         })
         .detach();
--- a/crates/daemon/src/convert.rs
+++ b/crates/daemon/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between the inner protocol's generated types and the state machines' own.
+//! Conversions between the types of the RPC protocol and those of the store and the steering.
 
 use std::{
     collections::BTreeMap,
@@ -10,8 +10,8 @@
     Version, //
 };
 
-/// The destination of a service's packets.
-pub const fn destination(address: settings::Address) -> steering::Destination {
+/// Converts a service's address from the settings into the destination of its packets.
+pub const fn steering_destination(address: settings::Address) -> steering::Destination {
     steering::Destination {
         ip: address.ip,
         port: address.port,
@@ -22,8 +22,8 @@
     }
 }
 
-/// An edit as the store keeps it; `time` in milliseconds since the Unix epoch.
-pub fn edit(from: wire::Edit, time: u64) -> Edit {
+/// Converts an edit from the wire; `time` is in milliseconds since the Unix epoch.
+pub fn edit_from_wire(from: wire::Edit, time: u64) -> Edit {
     Edit {
         author: from.author,
         base: Version(from.base),
@@ -35,8 +35,8 @@
     }
 }
 
-/// The header of a packet that another entry handed over.
-pub fn header(from: &wire::Handover) -> steering::Header {
+/// Converts the header of a handed-over packet from the wire.
+pub fn header_from_wire(from: &wire::Handover) -> steering::Header {
     let ids = from.visited.map(steering::InstanceId);
     steering::Header {
         hops: from.hops,
@@ -50,8 +50,9 @@
     }
 }
 
-/// The header of a packet for another entry; `sender` is where the fabric sent it from.
-pub fn handover(from: &steering::Header, sender: SocketAddr) -> wire::Handover {
+/// Converts the header of a packet to hand over to the wire; `sender` is the packet's source in the
+/// fabric.
+pub fn handover_to_wire(from: &steering::Header, sender: SocketAddr) -> wire::Handover {
     let (ids, length) = from.visited.parts();
     wire::Handover {
         hops: from.hops,
@@ -67,8 +68,8 @@
     }
 }
 
-/// Flows that another entry told of.
-pub fn copies(from: &[wire::CopiedFlows]) -> Vec<steering::Copied> {
+/// Converts flow copies from another entry from the wire.
+pub fn copies_from_wire(from: &[wire::CopiedFlows]) -> Vec<steering::Copied> {
     let copy = |group: &wire::CopiedFlows, flow: &[u8; 8]| steering::Copied {
         endpoint: steering::EndpointId(u64::from_le_bytes(group.endpoint)),
         flow: steering::FlowId(u64::from_le_bytes(*flow)),
@@ -79,8 +80,8 @@
         .collect()
 }
 
-/// Flows as another entry is told of them, by endpoint.
-pub fn copied_flows(from: &[steering::Copied]) -> Vec<wire::CopiedFlows> {
+/// Converts flow copies for another entry to the wire, grouped by endpoint.
+pub fn copies_to_wire(from: &[steering::Copied]) -> Vec<wire::CopiedFlows> {
     let mut groups: BTreeMap<_, wire::CopiedFlows> = BTreeMap::new();
     for copy in from {
         let group = groups.entry(copy.endpoint).or_default();
--- a/crates/daemon/src/convert_change.rs
+++ b/crates/daemon/src/convert_change.rs
@@ -1,4 +1,4 @@
-//! Conversions between the inner protocol's sections and the configuration's own.
+//! Conversions between the sections of the RPC protocol and those of the configuration.
 
 use configuration::{
     Change,
@@ -11,28 +11,28 @@
     Update, //
 };
 
-/// What changed, as the configuration takes it.
-pub fn delta(from: Delta) -> Change {
+/// Converts changed sections from the wire.
+pub fn change_from_delta(from: Delta) -> Change {
     Change {
-        changed: from.changed.into_iter().map(text).collect(),
+        changed: from.changed.into_iter().map(text_from_wire).collect(),
         complete: from.complete,
         removed: from.removed,
         revision: from.revision,
     }
 }
 
-/// A whole document, as the configuration takes it.
-pub fn update(from: Update) -> Change {
+/// Converts a whole document from the wire.
+pub fn change_from_update(from: Update) -> Change {
     Change {
-        changed: from.sections.into_iter().map(text).collect(),
+        changed: from.sections.into_iter().map(text_from_wire).collect(),
         complete: true,
         removed: Vec::new(),
         revision: from.revision,
     }
 }
 
-/// The sections in force, as they are answered.
-pub fn texts(configuration: &Configuration) -> Vec<SectionText> {
+/// Converts the sections in force to the wire.
+pub fn sections_to_wire(configuration: &Configuration) -> Vec<SectionText> {
     let texts = configuration.texts();
     texts
         .map(|text| SectionText {
@@ -43,7 +43,7 @@
         .collect()
 }
 
-fn text(from: SectionText) -> Text {
+fn text_from_wire(from: SectionText) -> Text {
     Text {
         name: from.name,
         text: from.text,
--- a/crates/daemon/src/convert_claims.rs
+++ b/crates/daemon/src/convert_claims.rs
@@ -1,4 +1,4 @@
-//! Conversions between claims on the wire and the state machines' own.
+//! Conversions between the claims of the RPC protocol and those of the dispatch.
 
 use dispatch::{
     Claim,
@@ -9,8 +9,8 @@
     Settled, //
 };
 
-/// A claim as it is sent.
-pub fn claim(from: Claim) -> wire::Claim {
+/// Converts a claim to the wire.
+pub fn claim_to_wire(from: Claim) -> wire::Claim {
     wire::Claim {
         claimant: from.id.claimant,
         hash: from.key.hash,
@@ -21,8 +21,8 @@
     }
 }
 
-/// A claim as the holder takes it.
-pub fn received(from: wire::Claim) -> Claim {
+/// Converts a claim from the wire.
+pub fn claim_from_wire(from: wire::Claim) -> Claim {
     Claim {
         id: ClaimId {
             claimant: from.claimant,
@@ -37,8 +37,8 @@
     }
 }
 
-/// A reply as the claimant counts it.
-pub fn reply(from: wire::ClaimReply) -> Reply {
+/// Converts a holder's reply from the wire.
+pub fn reply_from_wire(from: wire::ClaimReply) -> Reply {
     match from {
         wire::ClaimReply::Answered(answer) => Reply::Answered(answer.map(Into::into)),
         wire::ClaimReply::Full => Reply::Full,
@@ -57,8 +57,8 @@
     }
 }
 
-/// A reply as it is sent.
-pub fn replied(from: Reply) -> wire::ClaimReply {
+/// Converts a holder's reply to the wire.
+pub fn reply_to_wire(from: Reply) -> wire::ClaimReply {
     match from {
         Reply::Answered(answer) => {
             wire::ClaimReply::Answered(answer.map(|answer| answer.to_vec().into()))
@@ -75,8 +75,8 @@
     }
 }
 
-/// An end as it is sent.
-pub fn end(from: Settled) -> wire::ClaimEnd {
+/// Converts the outcome of a claim to the wire.
+pub fn settled_to_wire(from: Settled) -> wire::ClaimEnd {
     match from {
         Settled::Answered(answer) => {
             wire::ClaimEnd::Answered(answer.map(|answer| answer.to_vec().into()))
@@ -86,8 +86,8 @@
     }
 }
 
-/// An end as the holder takes it.
-pub fn ended(from: wire::ClaimEnd) -> Settled {
+/// Converts the outcome of a claim from the wire.
+pub fn settled_from_wire(from: wire::ClaimEnd) -> Settled {
     match from {
         wire::ClaimEnd::Answered(answer) => Settled::Answered(answer.map(Into::into)),
         wire::ClaimEnd::NotRun => Settled::NotRun,
@@ -95,20 +95,20 @@
     }
 }
 
-/// A claim that is handed over, as the new holder takes it.
-pub fn record(from: wire::ClaimRecord) -> Record {
+/// Converts a claim record from the wire.
+pub fn record_from_wire(from: wire::ClaimRecord) -> Record {
     Record {
         age: from.age,
-        claim: received(from.claim),
-        settled: from.end.map(ended),
+        claim: claim_from_wire(from.claim),
+        settled: from.end.map(settled_from_wire),
     }
 }
 
-/// A claim that is handed over, as it is sent.
-pub fn recorded(from: Record) -> wire::ClaimRecord {
+/// Converts a claim record to the wire.
+pub fn record_to_wire(from: Record) -> wire::ClaimRecord {
     wire::ClaimRecord {
         age: from.age,
-        claim: claim(from.claim),
-        end: from.settled.map(end),
+        claim: claim_to_wire(from.claim),
+        end: from.settled.map(settled_to_wire),
     }
 }
--- a/crates/daemon/src/convert_endpoint.rs
+++ b/crates/daemon/src/convert_endpoint.rs
@@ -1,4 +1,4 @@
-//! Conversions of announcements between the inner protocol's types and the directory's.
+//! Conversions between the announcements of the RPC protocol and those of the directory.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 };
 use wire::Announcement;
 
-/// An announcement as the directory takes it.
-pub fn endpoint(from: Announcement) -> Endpoint {
+/// Converts an announcement from the wire.
+pub fn endpoint_from_wire(from: Announcement) -> Endpoint {
     Endpoint {
         address: from.address,
         centre: from.centre,
@@ -32,8 +32,8 @@
     }
 }
 
-/// An endpoint as other instances and operators are told of it.
-pub fn announcement(from: &Endpoint) -> Announcement {
+/// Converts an endpoint to the wire.
+pub fn endpoint_to_wire(from: &Endpoint) -> Announcement {
     Announcement {
         address: from.address,
         centre: from.centre.clone(),
@@ -52,14 +52,14 @@
     }
 }
 
-/// A received batch as the relay takes it.
-pub fn batch(from: wire::Batch) -> Batch {
+/// Converts a batch from the wire.
+pub fn batch_from_wire(from: wire::Batch) -> Batch {
     Batch {
         echo: from.echo.map(|(stamp, held)| Echo {
             held: Duration::from_micros(held),
             stamp: Duration::from_micros(stamp),
         }),
-        reports: from.reports.into_iter().map(report).collect(),
+        reports: from.reports.into_iter().map(report_from_wire).collect(),
         route: match from.route {
             wire::Route::Direct => Route::Direct,
             wire::Route::Forward(to) => Route::Forward(to),
@@ -69,13 +69,14 @@
     }
 }
 
-/// A batch as it is sent. Ages are rounded up, and times that an endpoint vouches for down.
-pub fn sent_batch(from: &Batch) -> wire::Batch {
+/// Converts a batch to the wire. Ages are rounded up; durations that an endpoint guarantees are
+/// rounded down.
+pub fn batch_to_wire(from: &Batch) -> wire::Batch {
     wire::Batch {
         echo: from
             .echo
             .map(|echo| (micros(echo.stamp), micros(echo.held))),
-        reports: from.reports.iter().map(sent_report).collect(),
+        reports: from.reports.iter().map(report_to_wire).collect(),
         route: match from.route {
             Route::Direct => wire::Route::Direct,
             Route::Forward(to) => wire::Route::Forward(to),
@@ -85,17 +86,17 @@
     }
 }
 
-fn report(from: wire::Report) -> Report {
-    Report::new(endpoint(from.announcement))
+fn report_from_wire(from: wire::Report) -> Report {
+    Report::new(endpoint_from_wire(from.announcement))
         .with_age(Duration::from_millis(from.age))
         .with_bound(Duration::from_millis(from.bound))
         .with_warm(Duration::from_millis(from.warm))
 }
 
-fn sent_report(from: &Report) -> wire::Report {
+fn report_to_wire(from: &Report) -> wire::Report {
     wire::Report {
         age: millis(from.age).saturating_add(1),
-        announcement: announcement(&from.endpoint),
+        announcement: endpoint_to_wire(&from.endpoint),
         bound: millis(from.bound),
         warm: millis(from.warm),
     }
--- a/crates/daemon/src/convert_member.rs
+++ b/crates/daemon/src/convert_member.rs
@@ -1,4 +1,4 @@
-//! Conversions of instances between the inner protocol's types and the membership's.
+//! Conversions between the instances of the RPC protocol and those of the membership.
 
 use membership::{
     Body,
@@ -8,8 +8,8 @@
     Standing, //
 };
 
-/// An instance as the membership takes it.
-pub fn instance(from: wire::Instance) -> Instance {
+/// Converts an instance from the wire.
+pub fn instance_from_wire(from: wire::Instance) -> Instance {
     Instance {
         admin: from.addresses.admin,
         centre: from.centre,
@@ -23,8 +23,8 @@
     }
 }
 
-/// An instance as others are told of it.
-pub fn described(from: &Instance) -> wire::Instance {
+/// Converts an instance to the wire.
+pub fn instance_to_wire(from: &Instance) -> wire::Instance {
     wire::Instance {
         addresses: wire::Addresses {
             admin: from.admin,
@@ -40,8 +40,8 @@
     }
 }
 
-/// A standing as others are told of it.
-pub const fn standing(from: Standing) -> wire::Standing {
+/// Converts a standing to the wire.
+pub const fn standing_to_wire(from: Standing) -> wire::Standing {
     match from {
         Standing::Alive => wire::Standing::Alive,
         Standing::Suspected => wire::Standing::Suspected,
@@ -50,10 +50,10 @@
     }
 }
 
-/// A received message.
-pub fn message(from: wire::Member) -> Message {
-    let rumours = from.rumours.into_iter().map(|(known, standing)| Rumour {
-        instance: instance(known),
+/// Converts a message from the wire.
+pub fn message_from_wire(from: wire::Member) -> Message {
+    let rumours = from.rumours.into_iter().map(|(member, standing)| Rumour {
+        instance: instance_from_wire(member),
         standing: match standing {
             wire::Standing::Alive => Standing::Alive,
             wire::Standing::Suspected => Standing::Suspected,
@@ -70,12 +70,12 @@
             wire::Body::Tell => Body::Tell,
         },
         rumours: rumours.collect(),
-        from: instance(from.from),
+        from: instance_from_wire(from.from),
     }
 }
 
-/// A message as it is sent.
-pub fn sent_message(from: &Message) -> wire::Member {
+/// Converts a message to the wire.
+pub fn message_to_wire(from: &Message) -> wire::Member {
     wire::Member {
         body: match from.body {
             Body::Ack { probe } => wire::Body::Ack(probe),
@@ -84,11 +84,16 @@
             Body::Request { probe, target } => wire::Body::Request(probe, target),
             Body::Tell => wire::Body::Tell,
         },
-        from: described(&from.from),
+        from: instance_to_wire(&from.from),
         rumours: from
             .rumours
             .iter()
-            .map(|rumour| (described(&rumour.instance), standing(rumour.standing)))
+            .map(|rumour| {
+                (
+                    instance_to_wire(&rumour.instance),
+                    standing_to_wire(rumour.standing),
+                )
+            })
             .collect(),
     }
 }
--- a/crates/daemon/src/datagrams.rs
+++ b/crates/daemon/src/datagrams.rs
@@ -40,93 +40,92 @@
         let BufResult(received, filled) = socket.recv_from(buffer).await;
         buffer = filled;
         match received {
-            Ok((_, from)) => take(&node, from, &buffer).await,
-            Err(error) => log::debug!("no datagram received: {error}"),
+            Ok((_, from)) => handle_datagram(&node, from, &buffer).await,
+            Err(error) => log::debug!("cannot receive a datagram: {error}"),
         }
         buffer.clear();
     }
 }
 
-/// Lets time pass for the members and the directory until the process ends.
-pub async fn beat(node: Rc<Node>) {
+/// Ticks the membership and the directory until the process ends.
+pub async fn run_ticks(node: Rc<Node>) {
     loop {
         let now = node.now();
-        let actions = node.known.members.borrow_mut().handle(now, Event::Tick);
-        act(&node, &actions).await;
-        node.known.directory.borrow_mut().tick(now);
-        follow_members(&node);
-        flush(&node).await;
-        observe(&node);
+        let actions = node.view.members.borrow_mut().handle(now, Event::Tick);
+        send_actions(&node, &actions).await;
+        node.view.directory.borrow_mut().tick(now);
+        update_peers(&node);
+        flush_relay(&node).await;
+        update_gauges(&node);
         compio::time::sleep(TICK).await;
     }
 }
 
-/// Tells the other instances of a planned stop.
+/// Announces the graceful shutdown to the other instances.
 pub async fn leave(node: &Node) {
     let actions = node
-        .known
+        .view
         .members
         .borrow_mut()
         .handle(node.now(), Event::Leave);
-    act(node, &actions).await;
+    send_actions(node, &actions).await;
 }
 
-/// Takes in an announcement from the endpoint itself, and passes it on.
+/// Accepts an announcement from the endpoint itself, and relays it.
 ///
 /// # Errors
 ///
 /// Those of [`Directory::announce`](directory::Directory::announce).
 pub async fn announce(node: &Node, announcement: Announcement) -> Result<EndpointKey, Code> {
-    let report = Report::new(convert_endpoint::endpoint(announcement));
-    let taken = node.relay.borrow_mut().announce(
-        node.now(),
-        &mut node.known.directory.borrow_mut(),
-        report,
-    );
-    flush(node).await;
-    taken
+    let report = Report::new(convert_endpoint::endpoint_from_wire(announcement));
+    let accepted =
+        node.relay
+            .borrow_mut()
+            .announce(node.now(), &mut node.view.directory.borrow_mut(), report);
+    flush_relay(node).await;
+    accepted
 }
 
-async fn take(node: &Node, from: SocketAddr, bytes: &[u8]) {
+async fn handle_datagram(node: &Node, from: SocketAddr, bytes: &[u8]) {
     let now = node.now();
     match Datagram::decode(bytes) {
         Ok(Datagram::Batch(batch)) => {
-            let batch = convert_endpoint::batch(batch);
+            let batch = convert_endpoint::batch_from_wire(batch);
             node.relay.borrow_mut().receive(
                 now,
-                &mut node.known.directory.borrow_mut(),
+                &mut node.view.directory.borrow_mut(),
                 from,
                 batch,
             );
-            flush(node).await;
+            flush_relay(node).await;
         }
         Ok(Datagram::Member(message)) => {
-            let message = Box::new(convert_member::message(message));
+            let message = Box::new(convert_member::message_from_wire(message));
             let event = Event::Received { from, message };
-            let actions = node.known.members.borrow_mut().handle(now, event);
-            act(node, &actions).await;
+            let actions = node.view.members.borrow_mut().handle(now, event);
+            send_actions(node, &actions).await;
         }
         Err(error) => {
-            node.metrics.refuse(error.code());
+            node.metrics.count_refusal(error.code());
             log::info!(code = error.code().number(); "{error}");
         }
     }
 }
 
-async fn act(node: &Node, actions: &[Action]) {
+async fn send_actions(node: &Node, actions: &[Action]) {
     for action in actions {
-        let message = convert_member::sent_message(&action.message);
+        let message = convert_member::message_to_wire(&action.message);
         send(node, action.to, &Datagram::Member(message)).await;
     }
 }
 
-async fn flush(node: &Node) {
+async fn flush_relay(node: &Node) {
     let batches = node
         .relay
         .borrow_mut()
-        .flush(node.now(), &node.known.directory.borrow());
+        .flush(node.now(), &node.view.directory.borrow());
     for (to, batch) in batches {
-        let batch = convert_endpoint::sent_batch(&batch);
+        let batch = convert_endpoint::batch_to_wire(&batch);
         send(node, to, &Datagram::Batch(batch)).await;
     }
 }
@@ -138,16 +137,16 @@
     let Some(socket) = node.socket.get() else {
         return;
     };
-    node.metrics.sent(bytes.len());
+    node.metrics.count_datagram(bytes.len());
     let BufResult(sent, _) = socket.send_to(bytes, to).await;
     if let Err(error) = sent {
-        log::debug!("no datagram sent to {to}: {error}");
+        log::debug!("cannot send a datagram to {to}: {error}");
     }
 }
 
-/// Passes announcements on to the members that are present now.
-fn follow_members(node: &Node) {
-    let peers = peers(&node.known.members.borrow());
+/// Updates the peers that announcements are relayed to from the current membership.
+fn update_peers(node: &Node) {
+    let peers = peers(&node.view.members.borrow());
     node.relay.borrow_mut().set_peers(node.now(), peers);
 }
 
@@ -162,10 +161,10 @@
     }
 }
 
-fn observe(node: &Node) {
+fn update_gauges(node: &Node) {
     let count = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
-    let endpoints = node.known.directory.borrow().iter().count();
-    let instances = node.known.members.borrow().iter().count();
+    let endpoints = node.view.directory.borrow().iter().count();
+    let instances = node.view.members.borrow().iter().count();
     node.metrics.endpoints.set(count(endpoints));
     node.metrics.instances.set(count(instances));
 }
--- a/crates/daemon/src/deadline.rs
+++ b/crates/daemon/src/deadline.rs
@@ -1,4 +1,4 @@
-//! The deadline of a request.
+//! Request deadlines.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
     HeaderValue, //
 };
 
-/// Header with the time that a caller waits for the answer, in seconds, as a decimal number.
+/// Header with the time that a client waits for the response, in seconds, as a decimal number.
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("request-timeout");
 
-/// The deadline of a request: its own, if it brings one, and the service's otherwise.
+/// Reads the deadline of a request from its header; `default` applies without one.
 ///
 /// # Errors
 ///
@@ -30,9 +30,9 @@
         .ok_or(Code::RequestMalformed)
 }
 
-/// Tells an endpoint how much time is left.
-pub fn write(headers: &mut HeaderMap, left: Duration) {
-    if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", left.as_secs_f64())) {
+/// Sets the header that gives an endpoint the remaining time.
+pub fn write(headers: &mut HeaderMap, remaining: Duration) {
+    if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", remaining.as_secs_f64())) {
         headers.insert(TIMEOUT_HEADER, value);
     }
 }
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/document_sync.rs
@@ -1,4 +1,4 @@
-//! The document's way from the stores to this instance and on.
+//! Distribution of the document from the stores to this instance and its followers.
 
 use std::{
     cell::RefCell,
@@ -16,21 +16,21 @@
 
 use crate::{
     published::Published,
-    replicated, //
+    replica_document, //
 };
 
-/// The document's way from the stores to this instance and on.
+/// State of the document's distribution to and from this instance.
 #[derive(Debug, Default)]
-pub struct Spread {
-    /// Which stores the instance follows; unused by a store.
+pub struct DocumentSync {
+    /// State machine that follows the stores; unused by a store.
     pub follower: RefCell<Follower<SocketAddr>>,
-    /// Notified when a new document is in force.
+    /// Notified when a new document has come into force.
     pub updated: Event,
     published: RefCell<Published>,
 }
 
-impl Spread {
-    /// Answers a follower from this store's replica, at `now` since the process started.
+impl DocumentSync {
+    /// Answers a follower from this store's replica; `now` is the time since the process started.
     pub fn answer(&self, replica: &RefCell<Replica>, now: Duration, follow: Follow) -> Followed {
         let replica = replica.borrow();
         self.record(&replica);
@@ -42,10 +42,11 @@
         }
     }
 
-    /// Takes note of what has changed in this store's replica, so that followers are sent no more.
+    /// Records changes of this store's replica, so that followers are sent only the sections that
+    /// changed.
     pub fn record(&self, replica: &Replica) {
         let mut published = self.published.borrow_mut();
-        if let Some(update) = replicated::update(replica, published.revision()) {
+        if let Some(update) = replica_document::update_since(replica, published.revision()) {
             published.record(update);
         }
     }
--- a/crates/daemon/src/endpoints.rs
+++ b/crates/daemon/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The page of the endpoints that an instance knows.
+//! The page that lists the endpoints known to an instance.
 
 use wire::Announcement;
 
@@ -7,12 +7,12 @@
     node::Node, //
 };
 
-/// The endpoints under a lease, in the order of their names.
+/// Returns the endpoints under a lease, sorted by name.
 pub fn page(node: &Node) -> Vec<Announcement> {
-    let directory = node.known.directory.borrow();
+    let directory = node.view.directory.borrow();
     let mut endpoints: Vec<_> = directory
         .iter()
-        .map(|(_, endpoint)| convert_endpoint::announcement(endpoint))
+        .map(|(_, endpoint)| convert_endpoint::endpoint_to_wire(endpoint))
         .collect();
     endpoints.sort_by(|one, other| one.name.cmp(&other.name));
     endpoints
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! What can keep the daemon from starting or running.
+//! Errors that end the process.
 
 use std::{
     io,
@@ -8,34 +8,34 @@
 
 use thiserror::Error as ThisError;
 
-/// A failure that ends the process.
+/// An error that ends the process.
 #[derive(Debug)]
 #[derive(ThisError)]
 pub enum Error {
-    /// A file of the certificate or its key cannot be used.
+    /// The certificate file or its key file could not be used.
     #[error("cannot use {path:?}: {cause}", path = path)]
     File {
-        /// What is wrong with it.
+        /// The underlying error.
         cause: io::Error,
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The file of operators' keys was refused.
+    /// The operator key file was rejected.
     #[error("{}: {cause}", cause.result_code())]
     Keys {
-        /// What is wrong with it.
+        /// The underlying error.
         #[from]
         cause: settings::Error,
     },
     /// A port could not be opened.
-    #[error("cannot listen on {address} for {face}: {cause}")]
+    #[error("cannot listen on {address} for {setting}: {cause}")]
     Listen {
         /// The address from the settings.
         address: SocketAddr,
-        /// What the system reported.
+        /// The system error.
         cause: io::Error,
-        /// The setting's name.
-        face: &'static str,
+        /// Name of the setting.
+        setting: &'static str,
     },
     /// The logger could not be started.
     #[error("cannot start the log: {0}")]
@@ -46,7 +46,7 @@
     /// The data folder could not be used.
     #[error("{}: {cause}", cause.code())]
     Storage {
-        /// What went wrong.
+        /// The underlying error.
         #[from]
         cause: store::Error,
     },
--- a/crates/daemon/src/refusal.rs
+++ b/crates/daemon/src/error_response.rs
@@ -1,4 +1,4 @@
-//! Refusals as they are answered over HTTP.
+//! HTTP error responses.
 
 use std::time::Duration;
 
@@ -25,10 +25,10 @@
 /// Header that says whether the request may have run: `not`, `may` or `ran`.
 pub const RUN_HEADER: HeaderName = HeaderName::from_static("mimosausher-run");
 
-/// The body of a refusal.
+/// The body of an error response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Refusal {
+pub struct ErrorResponse {
     /// What is wrong, and where.
     pub advice: Box<str>,
     /// Number of the result code.
@@ -37,33 +37,33 @@
     pub meaning: Box<str>,
     /// Whether the request may have run.
     pub run: codes::Run,
-    /// Time after which a caller may come back, in seconds.
+    /// Time after which a client may retry, in seconds.
     #[serde(skip)]
-    seconds: u64,
+    retry_seconds: u64,
 }
 
-impl Refusal {
-    /// Creates a refusal with its code and advice.
+impl ErrorResponse {
+    /// Creates the error response of a code, with advice; clients may retry after a second.
     pub fn new(code: Code, advice: impl Into<Box<str>>) -> Self {
         Self {
             advice: advice.into(),
             code: code.number(),
             meaning: code.meaning().into(),
             run: code.run(),
-            seconds: 1,
+            retry_seconds: 1,
         }
     }
 
-    /// Sets when the caller may come back; rounded up to whole seconds.
-    pub const fn with_after(mut self, after: Duration) -> Self {
-        self.seconds = match after.subsec_nanos() {
-            0 => after.as_secs(),
-            _ => after.as_secs() + 1,
+    /// Sets the time after which the client may retry, rounded up to whole seconds.
+    pub const fn with_retry_after(mut self, retry_after: Duration) -> Self {
+        self.retry_seconds = match retry_after.subsec_nanos() {
+            0 => retry_after.as_secs(),
+            _ => retry_after.as_secs() + 1,
         };
         self
     }
 
-    /// The refusal as an HTTP response.
+    /// Builds the HTTP response.
     pub fn response(&self, status: StatusCode) -> Response<Full<Bytes>> {
         let body = serde_json::to_vec(self).unwrap_or_default();
         let mut response = Response::new(Full::new(Bytes::from(body)));
@@ -79,15 +79,15 @@
                 codes::Run::Ran => "ran",
             }),
         );
-        if retried(status) {
-            headers.insert(RETRY_AFTER, HeaderValue::from(self.seconds));
+        if is_retryable(status) {
+            headers.insert(RETRY_AFTER, HeaderValue::from(self.retry_seconds));
         }
         response
     }
 }
 
-/// Whether a caller may come back after a status.
-const fn retried(status: StatusCode) -> bool {
+/// Whether a client may retry after a status.
+const fn is_retryable(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::BAD_GATEWAY
--- a/crates/daemon/src/exit.rs
+++ b/crates/daemon/src/exit.rs
@@ -2,16 +2,16 @@
 
 use std::process::ExitCode;
 
-/// Why the process ended.
+/// Reason for which the process exits, with its exit code.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// A failure while it started or ran: 1.
+    /// A failure at start-up or at run time: 1.
     Failure,
-    /// A refused settings file: 3.
+    /// An invalid settings file: 3.
     Settings,
-    /// A planned stop, or a command that did its work: 0.
+    /// A graceful shutdown or a completed command: 0.
     Success,
-    /// A command line that is not understood: 2.
+    /// An invalid command line: 2.
     Usage,
 }
 
--- a/crates/daemon/src/fabric.rs
+++ b/crates/daemon/src/fabric.rs
@@ -1,4 +1,4 @@
-//! The face towards the fabric: packets in, packets out to endpoints and other entries.
+//! The fabric interface: receives packets and forwards them to endpoints and other entries.
 
 use std::{
     net::SocketAddr,
@@ -33,19 +33,19 @@
     node::Node, //
 };
 
-/// A datagram that is to be sent.
-enum Step {
-    /// The received bytes from an offset on.
-    Rest(SocketAddr, usize),
-    /// The bytes in the scratch buffer.
+/// A datagram to send.
+enum Outgoing {
+    /// The received datagram from an offset on.
+    Received(SocketAddr, usize),
+    /// The content of the scratch buffer.
     Scratch(SocketAddr),
 }
 
-/// What is known of a received packet.
-struct Received {
-    /// Where its encapsulation starts in the datagram.
+/// Position and sender of a received packet.
+struct PacketOrigin {
+    /// Offset of its encapsulation in the datagram.
     offset: usize,
-    /// Where the fabric sent it from.
+    /// Address in the fabric that sent it.
     sender: SocketAddr,
 }
 
@@ -56,25 +56,25 @@
     loop {
         let BufResult(received, filled) = socket.recv_from(buffer).await;
         buffer = filled;
-        let Ok((_, from)) = received else {
+        let Ok((_, source)) = received else {
             buffer.clear();
             continue;
         };
-        match take(&node, &buffer, from, &mut scratch) {
-            Ok(Some(Step::Rest(to, offset))) => {
+        match handle_datagram(&node, &buffer, source, &mut scratch) {
+            Ok(Some(Outgoing::Received(to, offset))) => {
                 let BufResult(sent, slice) = socket.send_to(buffer.slice(offset..), to).await;
                 buffer = slice.into_inner();
                 if sent.is_ok() {
                     node.metrics.packets.inc();
                 }
             }
-            Ok(Some(Step::Scratch(to))) => {
+            Ok(Some(Outgoing::Scratch(to))) => {
                 let BufResult(_, returned) = socket.send_to(scratch, to).await;
                 scratch = returned;
             }
             Ok(None) => {}
             Err(code) => {
-                node.metrics.refuse(code);
+                node.metrics.count_refusal(code);
                 log::debug!(code = code.number(); "packet dropped");
             }
         }
@@ -82,99 +82,101 @@
     }
 }
 
-/// Decides on a datagram.
-fn take(
+/// Handles a datagram from the fabric or from another entry.
+fn handle_datagram(
     node: &Node,
     datagram: &[u8],
-    from: SocketAddr,
+    source: SocketAddr,
     scratch: &mut Vec<u8>,
-) -> Result<Option<Step>, Code> {
-    // After a pause this may run before the next tick.
-    node.known.directory.borrow_mut().catch_up(node.now());
+) -> Result<Option<Outgoing>, Code> {
+    // After the process was suspended, this may run before the next tick.
+    node.view.directory.borrow_mut().catch_up(node.now());
     if FlowDatagram::recognises(datagram) {
-        return take_flows(node, datagram, from, scratch);
+        return handle_flow_datagram(node, datagram, source, scratch);
     }
-    let action = node.router.borrow_mut().packet(datagram)?;
-    let received = Received {
+    let action = node.router.borrow_mut().route_packet(datagram)?;
+    let origin = PacketOrigin {
         offset: 0,
-        sender: from,
+        sender: source,
     };
-    act(node, action, datagram, &received, scratch)
+    prepare(node, action, datagram, &origin, scratch)
 }
 
-/// Takes in a datagram of another entry.
-fn take_flows(
+/// Handles a datagram from another entry.
+fn handle_flow_datagram(
     node: &Node,
     datagram: &[u8],
-    from: SocketAddr,
+    source: SocketAddr,
     scratch: &mut Vec<u8>,
-) -> Result<Option<Step>, Code> {
+) -> Result<Option<Outgoing>, Code> {
     let mut router = node.router.borrow_mut();
-    let entry = router.heard(from).ok_or(Code::PacketEncapsulation)?;
+    let entry = router
+        .sender_entry(source)
+        .ok_or(Code::PacketEncapsulation)?;
     match FlowDatagram::decode(datagram).map_err(|error| error.code())? {
         FlowDatagram::Copies(copies) => {
-            let copies = convert::copies(&copies);
-            router.machine.copied(node.now(), entry, &copies);
+            let copies = convert::copies_from_wire(&copies);
+            router.steering.copied(node.now(), entry, &copies);
             Ok(None)
         }
         FlowDatagram::Handover(handover, packet) => {
-            let header = convert::header(&handover);
-            let action = router.handed(entry, header, packet)?;
+            let header = convert::header_from_wire(&handover);
+            let action = router.route_handover(entry, header, packet)?;
             drop(router);
-            let received = Received {
+            let origin = PacketOrigin {
                 offset: datagram.len() - packet.len(),
                 sender: handover.sender,
             };
-            act(node, action, datagram, &received, scratch)
+            prepare(node, action, datagram, &origin, scratch)
         }
     }
 }
 
-/// Turns a decision into the datagram to be sent.
-fn act(
+/// Converts a decision into the datagram to send.
+fn prepare(
     node: &Node,
     action: Action<Header>,
     datagram: &[u8],
-    received: &Received,
+    origin: &PacketOrigin,
     scratch: &mut Vec<u8>,
-) -> Result<Option<Step>, Code> {
-    let packet = datagram.get(received.offset..).unwrap_or_default();
+) -> Result<Option<Outgoing>, Code> {
+    let packet = datagram.get(origin.offset..).unwrap_or_default();
     match action {
         Action::Drop(code) => Err(code),
         Action::Forward(endpoint) | Action::Hint(endpoint, _) => {
-            let address = node.router.borrow().address(endpoint);
+            let address = node.router.borrow().endpoint_address(endpoint);
             let address = address.ok_or(Code::FlowEndpointGone)?;
-            Ok(Some(Step::Rest(address, received.offset)))
+            Ok(Some(Outgoing::Received(address, origin.offset)))
         }
-        Action::Pass(to, header) => hand(node, to, header, packet, received, scratch),
+        Action::Pass(to, header) => encode_handover(node, to, header, packet, origin, scratch),
         Action::Refuse(code) => {
-            node.metrics.refuse(code);
+            node.metrics.count_refusal(code);
             let inner = packet.get(GRE_BYTES..).unwrap_or_default();
-            let answer = steering::refusal(inner).map_err(steering::Error::code)?;
-            Ok(answer.map(|answer| {
+            let response = steering::refusal(inner).map_err(steering::Error::code)?;
+            Ok(response.map(|response| {
                 scratch.clear();
-                scratch.extend_from_slice(&answer);
-                Step::Scratch(received.sender)
+                scratch.extend_from_slice(&response);
+                Outgoing::Scratch(origin.sender)
             }))
         }
     }
 }
 
-/// Puts a packet together with the header for the next entry.
-fn hand(
+/// Encodes a packet with the header for the next entry.
+fn encode_handover(
     node: &Node,
     to: InstanceId,
     header: Header,
     packet: &[u8],
-    received: &Received,
+    origin: &PacketOrigin,
     scratch: &mut Vec<u8>,
-) -> Result<Option<Step>, Code> {
-    let face = node.router.borrow().face(to);
-    let face = face.ok_or(Code::InstanceUnreachable)?;
-    let handover: Handover = convert::handover(&header, received.sender);
+) -> Result<Option<Outgoing>, Code> {
+    let address = node.router.borrow().entry_address(to);
+    let address = address.ok_or(Code::InstanceUnreachable)?;
+    let handover: Handover = convert::handover_to_wire(&header, origin.sender);
     handover
         .encode(packet, scratch)
         .map_err(|error| error.code())?;
     node.metrics.handovers.inc();
-    Ok(Some(Step::Scratch(face)))
+    Ok(Some(Outgoing::Scratch(address)))
 }
--- a/crates/daemon/src/follower.rs
+++ b/crates/daemon/src/follower.rs
@@ -1,4 +1,4 @@
-//! Following the stores.
+//! Follows the stores and applies newer documents.
 
 use std::{
     cell::RefCell,
@@ -26,83 +26,83 @@
 };
 use tarpc::context;
 use wire::{
-    Client, //
+    Client,
     Follow,
-    Followed,
+    Followed, //
 };
 
 use crate::{
     convert_change,
     node::Node,
-    replicated,
-    stores, //
+    replica_document,
+    store_client, //
 };
 
-/// Time after which the stores that may be followed are looked up again.
-const REFRESH: Duration = Duration::from_millis(500);
+/// Interval at which the list of stores is refreshed.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The connection to a store; the number tells it from earlier ones to the same store.
+/// A connection to a store; the number distinguishes it from earlier ones to the same store.
 struct Upstream {
     client: Rc<RefCell<Option<Client>>>,
     number: u64,
 }
 
-/// What came of a call; none if it failed.
+/// The result of a call; `followed` is none if it failed.
 struct Reply {
     followed: Option<Followed>,
     from: SocketAddr,
     number: u64,
 }
 
-/// Follows stores with the calls that the state machine asks for.
-struct Following {
+/// Makes the calls to the stores that the state machine requests.
+struct FollowerTask {
     node: Rc<Node>,
     number: u64,
     replies: UnboundedSender<Reply>,
     upstreams: BTreeMap<SocketAddr, Upstream>,
 }
 
-/// Takes newer documents into force until the process ends.
+/// Applies newer documents until the process ends.
 pub async fn follow(node: Rc<Node>) {
     if node.replica.is_some() {
-        return own(node).await;
+        return follow_replica(node).await;
     }
     let (sender, receiver) = unbounded();
-    let following = Following {
+    let task = FollowerTask {
         node,
         number: 0,
         replies: sender,
         upstreams: BTreeMap::new(),
     };
-    following.run(receiver).await;
+    task.run(receiver).await;
 }
 
-impl Following {
+impl FollowerTask {
     async fn run(mut self, mut replies: UnboundedReceiver<Reply>) {
-        let mut known = Vec::new();
+        let mut previous = Vec::new();
         loop {
-            let stores = stores::ranked(&self.node);
-            if stores != known {
-                known.clone_from(&stores);
+            let stores = store_client::ranked_addresses(&self.node);
+            if stores != previous {
+                previous.clone_from(&stores);
                 self.handle(Event::Upstreams(stores), None);
             }
-            match compio::time::timeout(self.pause(), replies.next()).await {
-                Ok(Some(reply)) => self.reply(reply),
+            match compio::time::timeout(self.wait_time(), replies.next()).await {
+                Ok(Some(reply)) => self.handle_reply(reply),
                 Ok(None) => return,
                 Err(_) => self.handle(Event::Tick, None),
             }
         }
     }
 
-    /// Time until the state machine or the look-up of stores is due.
-    fn pause(&self) -> Duration {
-        let wake = self.node.spread.follower.borrow().wake();
-        wake.map_or(REFRESH, |wake| {
-            wake.saturating_sub(self.node.now()).min(REFRESH)
+    /// Returns the time until the next tick or refresh of the stores is due.
+    fn wait_time(&self) -> Duration {
+        let wake = self.node.document_sync.follower.borrow().wake();
+        wake.map_or(REFRESH_INTERVAL, |wake| {
+            wake.saturating_sub(self.node.now()).min(REFRESH_INTERVAL)
         })
     }
 
-    fn reply(&mut self, reply: Reply) {
+    fn handle_reply(&mut self, reply: Reply) {
         let from = reply.from;
         let current = self.upstreams.get(&from).map(|upstream| upstream.number);
         if current != Some(reply.number) {
@@ -113,8 +113,8 @@
         };
         let changed = match followed.delta {
             Some(delta) => {
-                let change = convert_change::delta(delta);
-                self.node.known.configuration.borrow().prepare(change)
+                let change = convert_change::change_from_delta(delta);
+                self.node.view.configuration.borrow().prepare(change)
             }
             None => Ok(None),
         };
@@ -128,7 +128,7 @@
                 self.handle(Event::Answer { answer, from }, next);
             }
             Err(error) => {
-                self.node.metrics.refuse(error.result_code());
+                self.node.metrics.count_refusal(error.result_code());
                 log::error!(code = error.result_code().number(), revision = followed.revision;
                     "{error}");
                 self.handle(Event::Lost(from), None);
@@ -138,25 +138,30 @@
 
     fn handle(&mut self, event: Event<SocketAddr>, next: Option<Prepared>) {
         let now = self.node.now();
-        let actions = self.node.spread.follower.borrow_mut().handle(now, event);
+        let actions = self
+            .node
+            .document_sync
+            .follower
+            .borrow_mut()
+            .handle(now, event);
         let mut next = next;
         for action in actions {
             match action {
-                Action::Ask { ask, to } => self.ask(ask, to),
+                Action::Ask { ask, to } => self.poll_store(ask, to),
                 Action::Close(key) => {
                     log::info!("the store at {key} is no longer followed");
                     self.upstreams.remove(&key);
                 }
                 Action::Take(_) => {
                     if let Some(next) = next.take() {
-                        take(&self.node, next);
+                        apply(&self.node, next);
                     }
                 }
             }
         }
     }
 
-    fn ask(&mut self, ask: Ask, to: SocketAddr) {
+    fn poll_store(&mut self, ask: Ask, to: SocketAddr) {
         self.number += 1;
         let number = self.number;
         let upstream = self.upstreams.entry(to).or_insert_with(|| Upstream {
@@ -180,10 +185,10 @@
 }
 
 async fn call(client: &RefCell<Option<Client>>, to: SocketAddr, ask: Ask) -> Option<Followed> {
-    let known = client.borrow().clone();
-    let connected = match known {
+    let open = client.borrow().clone();
+    let connected = match open {
         Some(connected) => connected,
-        None => stores::connect(to).await?,
+        None => store_client::connect(to).await?,
     };
     client.replace(Some(connected.clone()));
     let follow = Follow {
@@ -195,23 +200,23 @@
     compio::time::timeout(ASK_TIMEOUT, call).await.ok()?.ok()?
 }
 
-/// Takes the documents of this instance's own replica into force.
-async fn own(node: Rc<Node>) {
+/// Applies the documents of this instance's own replica until the process ends.
+async fn follow_replica(node: Rc<Node>) {
     let Some(replica) = &node.replica else {
         return;
     };
     loop {
-        let listener = node.changed.listen();
-        let revision = node.known.configuration.borrow().revision();
-        let update = replicated::update(&replica.borrow(), revision);
+        let listener = node.replica_changed.listen();
+        let revision = node.view.configuration.borrow().revision();
+        let update = replica_document::update_since(&replica.borrow(), revision);
         let next = update.map(|update| {
-            let change = convert_change::update(update);
-            node.known.configuration.borrow().prepare(change)
+            let change = convert_change::change_from_update(update);
+            node.view.configuration.borrow().prepare(change)
         });
         match next {
-            Some(Ok(Some(next))) => take(&node, next),
+            Some(Ok(Some(next))) => apply(&node, next),
             Some(Err(error)) => {
-                node.metrics.refuse(error.result_code());
+                node.metrics.count_refusal(error.result_code());
                 log::error!(code = error.result_code().number(); "{error}");
                 listener.await;
             }
@@ -220,13 +225,13 @@
     }
 }
 
-fn take(node: &Node, next: Prepared) {
+fn apply(node: &Node, next: Prepared) {
     let revision = next.revision();
-    if !node.known.configuration.borrow_mut().apply(next) {
+    if !node.view.configuration.borrow_mut().apply(next) {
         return;
     }
     let gauge = i64::try_from(revision).unwrap_or(i64::MAX);
     node.metrics.revision.set(gauge);
-    node.spread.updated.notify(usize::MAX);
+    node.document_sync.updated.notify(usize::MAX);
     log::info!(revision; "a new document is in force");
 }
--- a/crates/daemon/src/listeners.rs
+++ b/crates/daemon/src/listeners.rs
@@ -1,4 +1,4 @@
-//! The process's open ports.
+//! The sockets that the process listens on.
 
 use std::{
     io,
@@ -14,103 +14,103 @@
 
 use crate::error::Error;
 
-/// The faces that only an entry has.
+/// The sockets that only an entry opens.
 #[derive(Debug)]
-pub struct Faces {
+pub struct EntryListeners {
     /// Packets from the fabric.
     pub fabric: UdpSocket,
-    /// Callers' requests.
+    /// Requests of clients.
     pub requests: TcpListener,
 }
 
-/// The process's open ports.
+/// The sockets that the process listens on.
 #[derive(Debug)]
 pub struct Listeners {
-    /// Operators, announcements, health and metrics.
+    /// HTTP for operators, announcements, health checks and metrics.
     pub admin: TcpListener,
-    /// Calls of other instances.
-    pub calls: TcpListener,
-    /// Datagrams of other instances, on the same port as the calls.
+    /// RPC calls from other instances.
+    pub rpc: TcpListener,
+    /// Datagrams from other instances, on the same port number as [`rpc`](Self::rpc).
     pub datagrams: UdpSocket,
-    /// The faces of an entry.
-    pub faces: Option<Faces>,
+    /// The sockets of an entry; none for other instances.
+    pub entry: Option<EntryListeners>,
 }
 
 impl Listeners {
-    /// Opens the ports of the settings.
+    /// Opens the sockets that the settings name.
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`] for the first port that cannot be opened.
+    /// [`Error::Listen`] for the first socket that cannot be opened.
     pub async fn open(listen: &Listen) -> Result<Self, Error> {
-        let (calls, datagrams) = inner(listen.inner).await?;
+        let (rpc, datagrams) = bind_inner(listen.inner).await?;
         Ok(Self {
-            admin: tcp("listen.admin", listen.admin).await?,
-            calls,
+            admin: bind_tcp("listen.admin", listen.admin).await?,
+            rpc,
             datagrams,
-            faces: match listen.fabric.zip(listen.requests) {
-                Some((fabric, requests)) => Some(Faces {
-                    fabric: udp("listen.fabric", fabric).await?,
-                    requests: tcp("listen.requests", requests).await?,
+            entry: match listen.fabric.zip(listen.requests) {
+                Some((fabric, requests)) => Some(EntryListeners {
+                    fabric: bind_udp("listen.fabric", fabric).await?,
+                    requests: bind_tcp("listen.requests", requests).await?,
                 }),
                 None => None,
             },
         })
     }
 
-    /// The addresses that the ports were opened at.
+    /// Returns the addresses that the sockets are bound to.
     ///
     /// # Errors
     ///
-    /// What the system reported.
+    /// The system error.
     pub fn addresses(&self) -> io::Result<Addresses> {
-        let faces = self.faces.as_ref();
+        let entry = self.entry.as_ref();
         Ok(Addresses {
             admin: self.admin.local_addr()?,
-            fabric: faces.map(|faces| faces.fabric.local_addr()).transpose()?,
-            inner: self.calls.local_addr()?,
-            requests: faces.map(|faces| faces.requests.local_addr()).transpose()?,
+            fabric: entry.map(|entry| entry.fabric.local_addr()).transpose()?,
+            inner: self.rpc.local_addr()?,
+            requests: entry.map(|entry| entry.requests.local_addr()).transpose()?,
         })
     }
 }
 
-/// Attempts to find a port that is free for both TCP and UDP when the settings leave it open.
+/// Attempts to find a port that is free for both TCP and UDP when the settings give port 0.
 const PORT_ATTEMPTS: usize = 16;
 
-/// Opens one port for TCP and UDP alike.
-async fn inner(address: SocketAddr) -> Result<(TcpListener, UdpSocket), Error> {
+/// Binds the same port for TCP and for UDP.
+async fn bind_inner(address: SocketAddr) -> Result<(TcpListener, UdpSocket), Error> {
     let mut attempt = 1;
     loop {
-        let calls = tcp("listen.inner", address).await?;
-        let bound = calls.local_addr().map_err(|cause| Error::Listen {
+        let rpc = bind_tcp("listen.inner", address).await?;
+        let bound = rpc.local_addr().map_err(|cause| Error::Listen {
             address,
             cause,
-            face: "listen.inner",
+            setting: "listen.inner",
         })?;
-        match udp("listen.inner", bound).await {
-            Ok(datagrams) => return Ok((calls, datagrams)),
+        match bind_udp("listen.inner", bound).await {
+            Ok(datagrams) => return Ok((rpc, datagrams)),
             Err(error) if address.port() != 0 || attempt == PORT_ATTEMPTS => return Err(error),
             Err(_) => attempt += 1,
         }
     }
 }
 
-async fn tcp(face: &'static str, address: SocketAddr) -> Result<TcpListener, Error> {
+async fn bind_tcp(setting: &'static str, address: SocketAddr) -> Result<TcpListener, Error> {
     TcpListener::bind(address)
         .await
         .map_err(|cause| Error::Listen {
             address,
             cause,
-            face,
+            setting,
         })
 }
 
-async fn udp(face: &'static str, address: SocketAddr) -> Result<UdpSocket, Error> {
+async fn bind_udp(setting: &'static str, address: SocketAddr) -> Result<UdpSocket, Error> {
     UdpSocket::bind(address)
         .await
         .map_err(|cause| Error::Listen {
             address,
             cause,
-            face,
+            setting,
         })
 }
--- a/crates/daemon/src/known.rs
+++ b/crates/daemon/src/local_view.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of its deployment.
+//! The instance's view of the deployment.
 
 use std::{
     cell::RefCell,
@@ -12,23 +12,23 @@
 use directory::Directory;
 use membership::Members;
 
-/// What an instance knows of its deployment, and since when it runs.
+/// The instance's view of the deployment, and the time of its start.
 ///
-/// Each part of the process that decides by it has a handle of its own. No borrow of a cell is
-/// held across an await.
+/// Each component that reads it holds a reference of its own. No borrow of a cell is held across an
+/// await.
 #[derive(Debug)]
-pub struct Known {
+pub struct LocalView {
     /// The document in force.
     pub configuration: RefCell<Configuration>,
-    /// The endpoints.
+    /// The known endpoints.
     pub directory: RefCell<Directory>,
     /// The other instances.
     pub members: RefCell<Members>,
     start: Instant,
 }
 
-impl Known {
-    /// Creates what a process knows at its start: the members that its settings name.
+impl LocalView {
+    /// Creates the view of a new process, which knows only the given members.
     pub fn new(members: Members) -> Self {
         Self {
             configuration: RefCell::new(Configuration::new()),
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/log_members.rs
@@ -1,4 +1,4 @@
-//! The operators' calls on the stores of the log.
+//! Operator requests that read or change the member stores of the log.
 
 use std::{
     rc::Rc,
@@ -25,33 +25,33 @@
     proposals, //
 };
 
-/// Pause between two looks at the members.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Interval at which the members are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time within which one store has to become a voter.
+/// Time limit for a store to become a voter.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a call is refused.
-pub type Refused = (Code, Box<str>);
+/// The code and advice of a refused request.
+pub type RefusedRequest = (Code, Box<str>);
 
-/// The stores as this one knows them.
+/// Returns the members as this store knows them.
 ///
 /// # Errors
 ///
 /// `NoLeader` if this instance is not a store.
-pub fn show(node: &Node) -> Result<LogMembers, Refused> {
+pub fn show(node: &Node) -> Result<LogMembers, RefusedRequest> {
     match &node.replica {
         Some(replica) => Ok(replica::members(&replica.borrow(), node.now())),
         None => Err((Code::NoLeader, "this instance is not a store".into())),
     }
 }
 
-/// Adds or removes one store.
+/// Adds or removes a store.
 ///
 /// # Errors
 ///
-/// `MembersRefused`, or what keeps the leader from taking the change.
-pub async fn change(node: &Rc<Node>, change: MemberChange) -> Result<LogMembers, Refused> {
+/// `MembersRefused`, or the reason for which the leader cannot accept the change.
+pub async fn change(node: &Rc<Node>, change: MemberChange) -> Result<LogMembers, RefusedRequest> {
     let proposal = match change {
         MemberChange::Add(store) => Proposal::Add(store),
         MemberChange::Remove(name) => Proposal::Remove(name),
@@ -62,20 +62,20 @@
     }
 }
 
-/// The first start: begins the log with this store alone and adds the others one at a time.
+/// Initialises a new log with this store as its only member, then adds the others one at a time.
 ///
 /// # Errors
 ///
-/// `ValueInvalid` if this store is not listed, or what keeps a store from being added.
-pub async fn init(node: &Rc<Node>, init: Init) -> Result<LogMembers, Refused> {
-    begin(node, &init)?;
+/// `ValueInvalid` if this store is not listed, or the reason for which a store cannot be added.
+pub async fn init(node: &Rc<Node>, init: Init) -> Result<LogMembers, RefusedRequest> {
+    initialise(node, &init)?;
     for store in init.stores {
-        join(node, store).await?;
+        add_voter(node, store).await?;
     }
     show(node)
 }
 
-fn begin(node: &Rc<Node>, init: &Init) -> Result<(), Refused> {
+fn initialise(node: &Rc<Node>, init: &Init) -> Result<(), RefusedRequest> {
     show(node)?;
     let name = &node.settings.instance.name;
     let own = init.stores.iter().find(|store| store.name == *name);
@@ -98,8 +98,8 @@
 }
 
 /// Adds a store and waits until it is a voter.
-async fn join(node: &Rc<Node>, store: StoreAddress) -> Result<(), Refused> {
-    let until = node.now() + JOIN_TIMEOUT;
+async fn add_voter(node: &Rc<Node>, store: StoreAddress) -> Result<(), RefusedRequest> {
+    let deadline = node.now() + JOIN_TIMEOUT;
     loop {
         let voter = |members: LogMembers| {
             let mut others = members.members.into_iter();
@@ -110,12 +110,12 @@
         }
         let result = change(node, MemberChange::Add(store.clone())).await;
         match result {
-            Err(refused) if node.now() > until => return Err(refused),
-            Ok(_) if node.now() > until => {
+            Err(refused) if node.now() > deadline => return Err(refused),
+            Ok(_) if node.now() > deadline => {
                 let advice = format!("store `{}` has not caught up", store.name);
                 return Err((Code::MembersRefused, advice.into()));
             }
-            Ok(_) | Err(_) => compio::time::sleep(PAUSE).await,
+            Ok(_) | Err(_) => compio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logging.rs
@@ -14,26 +14,26 @@
     Log, //
 };
 
-/// Starts the log with the levels of the settings; it ends when the handle is dropped.
+/// Starts the logger with the levels of the settings; dropping the handle shuts it down.
 ///
 /// # Errors
 ///
-/// What the logger reported.
+/// The error of the logger.
 pub fn start(settings: &Log) -> Result<LoggerHandle, FlexiLoggerError> {
     let mut specification = LogSpecification::builder();
-    specification.default(filter(settings.level));
+    specification.default(level_filter(settings.level));
     for (target, level) in &settings.targets {
-        specification.module(&**target, filter(*level));
+        specification.module(&**target, level_filter(*level));
     }
     Logger::with(specification.build())
         .log_to_stderr()
-        // Its own messages would go to standard error too, and end the task if that is full.
+        // The logger's own errors would go to standard error too, and end the task if that is full.
         .error_channel(ErrorChannel::DevNull)
         .format(json_format)
         .start()
 }
 
-const fn filter(level: Level) -> LevelFilter {
+const fn level_filter(level: Level) -> LevelFilter {
     match level {
         Level::Debug => LevelFilter::Debug,
         Level::Error => LevelFilter::Error,
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon `mimosausherd`.
+//! The daemon's executable, `mimosausherd`.
 
 use std::process::ExitCode;
 
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -24,7 +24,7 @@
 /// Bytes of the IPv4 and UDP headers of a datagram.
 const HEADER_BYTES: u64 = 28;
 
-/// The label of counters by service.
+/// The label of counters kept per service.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(EncodeLabelSet)]
 pub struct ServiceLabel {
@@ -36,16 +36,16 @@
 #[derive(Debug)]
 pub struct Metrics {
     /// Whether this entry knows all claims on its idempotency keys: 1 or 0.
-    pub claims: Gauge,
+    pub claims_known: Gauge,
     /// Bytes of datagrams sent to other instances.
-    pub control: Counter,
+    pub control_bytes: Counter,
     /// Endpoints under a lease.
     pub endpoints: Gauge,
     /// Bytes of flows copied to other entries.
     pub flow_bytes: Counter,
-    /// Flows that the instance remembers.
+    /// Flows in the flow table.
     pub flows: Gauge,
-    /// Packets handed to other entries.
+    /// Packets handed over to other entries.
     pub handovers: Counter,
     /// Other instances that are present.
     pub instances: Gauge,
@@ -57,7 +57,7 @@
     pub requests: Family<ServiceLabel, Counter>,
     /// Revision of the document in force.
     pub revision: Gauge,
-    refused: RefCell<BTreeMap<u16, u64>>,
+    refusal_counts: RefCell<BTreeMap<u16, u64>>,
     registry: Registry,
 }
 
@@ -65,8 +65,8 @@
     /// Creates the metrics, all at zero.
     pub fn new() -> Self {
         let mut metrics = Self {
-            claims: Gauge::default(),
-            control: Counter::default(),
+            claims_known: Gauge::default(),
+            control_bytes: Counter::default(),
             endpoints: Gauge::default(),
             flow_bytes: Counter::default(),
             flows: Gauge::default(),
@@ -74,7 +74,7 @@
             instances: Gauge::default(),
             packets: Counter::default(),
             refusals: Family::default(),
-            refused: RefCell::default(),
+            refusal_counts: RefCell::default(),
             registry: Registry::with_prefix("mimosausher"),
             requests: Family::default(),
             revision: Gauge::default(),
@@ -84,20 +84,20 @@
     }
 
     /// Counts a refusal.
-    pub fn refuse(&self, code: Code) {
-        self.refuse_number(code.number());
+    pub fn count_refusal(&self, code: Code) {
+        self.count_refusal_number(code.number());
     }
 
-    /// Counts a refusal by the number of its code.
-    pub fn refuse_number(&self, code: u16) {
+    /// Counts a refusal by the number of its result code.
+    pub fn count_refusal_number(&self, code: u16) {
         self.refusals.get_or_create(&CodeLabel { code }).inc();
-        *self.refused.borrow_mut().entry(code).or_default() += 1;
+        *self.refusal_counts.borrow_mut().entry(code).or_default() += 1;
     }
 
-    /// All refusals by code.
-    pub fn refused(&self) -> Vec<Refusals> {
-        let refused = self.refused.borrow();
-        refused
+    /// Returns the number of refusals of each result code.
+    pub fn refusal_counts(&self) -> Vec<Refusals> {
+        let refusal_counts = self.refusal_counts.borrow();
+        refusal_counts
             .iter()
             .map(|(code, count)| Refusals {
                 code: *code,
@@ -106,13 +106,14 @@
             .collect()
     }
 
-    /// Counts a datagram to another instance.
-    pub fn sent(&self, length: usize) {
+    /// Counts a datagram of `length` bytes sent to another instance, with its IP and UDP headers.
+    pub fn count_datagram(&self, length: usize) {
         let length = u64::try_from(length).unwrap_or(u64::MAX);
-        self.control.inc_by(length.saturating_add(HEADER_BYTES));
+        self.control_bytes
+            .inc_by(length.saturating_add(HEADER_BYTES));
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub fn text(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
@@ -131,12 +132,12 @@
         registry.register(
             "claims_known",
             "Whether this entry knows all claims on its idempotency keys",
-            self.claims.clone(),
+            self.claims_known.clone(),
         );
         registry.register(
             "control_bytes",
             "Bytes of datagrams sent to other instances, with their IP and UDP headers",
-            self.control.clone(),
+            self.control_bytes.clone(),
         );
         registry.register(
             "endpoints",
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! What all tasks of the process share.
+//! State that all tasks of the process share.
 
 use std::{
     cell::{
@@ -31,55 +31,55 @@
     claims::Claims,
     connections::Connections,
     convert_member,
+    document_sync::DocumentSync,
     error::Error,
-    known::Known,
+    local_view::LocalView,
     metrics::Metrics,
     router::Router,
-    services::Services,
-    spread::Spread, //
+    service_pools::ServicePools, //
 };
 
-/// What all tasks of the process share. No borrow of a cell is held across an await.
+/// State that all tasks of the process share. No borrow of a cell is held across an await.
 #[derive(Debug)]
 pub struct Node {
-    /// Where the instance is reached.
+    /// Addresses at which the instance can be reached.
     pub addresses: Addresses,
-    /// Who may call the operators' interface.
+    /// Authorisation of requests to the operator API.
     pub auth: Auth,
-    /// Notified when the replica has changed.
-    pub changed: Event,
-    /// This entry's part in the claims on idempotency keys.
+    /// Notified when the replica has a newer document.
+    pub replica_changed: Event,
+    /// Claims on idempotency keys, as claimant and as holder.
     pub claims: Rc<Claims>,
     /// Idle connections to endpoints.
     pub connections: Rc<Connections>,
-    /// The requests that run.
-    pub dispatch: Rc<Services>,
-    /// What the instance knows of its deployment.
-    pub known: Rc<Known>,
+    /// Request pools of all services.
+    pub pools: Rc<ServicePools>,
+    /// The instance's view of the deployment.
+    pub view: Rc<LocalView>,
     /// The metrics.
     pub metrics: Metrics,
-    /// What passes announcements on.
+    /// Relay of endpoint announcements to other instances.
     pub relay: RefCell<Relay>,
-    /// The replica of the configuration; stores only.
+    /// Replica of the configuration; stores only.
     pub replica: Option<RefCell<Replica>>,
-    /// The steering of flows.
+    /// Routing of packets.
     pub router: RefCell<Router>,
     /// The settings.
     pub settings: Settings,
-    /// The socket for datagrams to other instances; set once at the start.
+    /// Socket for datagrams to other instances; set once at start-up.
     pub socket: OnceCell<Rc<UdpSocket>>,
-    /// The document's way to this instance.
-    pub spread: Spread,
-    /// The planned stop.
+    /// Distribution of the document to this instance and to followers.
+    pub document_sync: DocumentSync,
+    /// The graceful shutdown.
     pub stop: Rc<Stop>,
 }
 
 impl Node {
-    /// Creates what the tasks of a new process share, and the data folder of a store.
+    /// Creates the shared state of a new process and opens the data folder of a store.
     ///
     /// # Errors
     ///
-    /// Any failure of the data folder.
+    /// Any error of the data folder, the operator key file or the TLS files.
     pub fn new(settings: Settings, addresses: Addresses) -> Result<(Self, Option<Folder>), Error> {
         let (replica, folder) = match &settings.data {
             Some(path) => {
@@ -98,48 +98,49 @@
             refutation: 0,
             store: replica.is_some(),
         };
-        let own = convert_member::instance(own);
+        let own = convert_member::instance_from_wire(own);
         let members = Members::new(own, &settings.seeds, rand::random());
-        let known = Rc::new(Known::new(members));
+        let view = Rc::new(LocalView::new(members));
         let metrics = Metrics::new();
-        let claims = Claims::new(known.clone(), &settings, metrics.claims.clone());
-        let router = Router::new(known.clone(), &settings.instance);
+        let claims = Claims::new(view.clone(), &settings, metrics.claims_known.clone());
+        let router = Router::new(view.clone(), &settings.instance);
         let node = Self {
             addresses,
             auth: Auth::open(&settings)?,
-            changed: Event::new(),
+            replica_changed: Event::new(),
             claims: Rc::new(claims),
             connections: Rc::default(),
-            dispatch: Rc::new(Services::new(known.clone())),
-            known,
+            pools: Rc::new(ServicePools::new(view.clone())),
+            view,
             metrics,
             relay: RefCell::new(Relay::new()),
             replica,
             router: RefCell::new(router),
             settings,
             socket: OnceCell::new(),
-            spread: Spread::default(),
+            document_sync: DocumentSync::default(),
             stop: Rc::default(),
         };
         Ok((node, folder))
     }
 
-    /// Time since the process started.
+    /// Returns the time since the process started.
     pub fn now(&self) -> Duration {
-        self.known.now()
+        self.view.now()
     }
 
-    /// The instance as others are told of it.
-    pub fn describe(&self) -> wire::Instance {
-        convert_member::described(self.known.members.borrow().own())
+    /// Describes the instance as it is sent to others.
+    pub fn own_instance(&self) -> wire::Instance {
+        convert_member::instance_to_wire(self.view.members.borrow().own())
     }
 
-    /// Whether the instance can serve: it has a document in force that a quorum of the stores
-    /// confirmed after its start, and is not stopping.
+    /// Whether the instance is ready to serve. A store is ready unless it is shutting down; another
+    /// instance also needs a document in force that a quorum of the stores has confirmed since its
+    /// start.
     pub fn ready(&self) -> bool {
         let stored = self.replica.is_some();
-        let revision = self.known.configuration.borrow().revision();
-        let confirmed = self.spread.follower.borrow().confirmed();
+        let revision = self.view.configuration.borrow().revision();
+        let confirmed = self.document_sync.follower.borrow().confirmed();
         (stored || (confirmed && revision > 0)) && !self.stop.begun()
     }
 }
--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -1,4 +1,4 @@
-//! The daemon's command line.
+//! The daemon's command line options.
 
 use gumdrop::Options as Gumdrop;
 
--- a/crates/daemon/src/job.rs
+++ b/crates/daemon/src/parsed_request.rs
@@ -1,4 +1,4 @@
-//! A request that has been read and checked.
+//! Parsing and validation of client requests.
 
 use std::{
     hash::{
@@ -37,17 +37,17 @@
 use crate::{
     deadline,
     node::Node,
-    upload::Upload, //
+    request_body::RequestBody, //
 };
 
 /// Header with the idempotency key.
 const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Longest idempotency key, in bytes.
-const KEY_BYTES: usize = 256;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
 
 /// Headers that concern one connection only (RFC 9110, section 7.6.1).
-const HOP_HEADERS: [HeaderName; 8] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
     PROXY_AUTHENTICATE,
@@ -58,41 +58,41 @@
     UPGRADE,
 ];
 
-/// A request that has been read and checked, ready to be sent on.
+/// A validated client request, ready to be sent to an endpoint.
 #[derive(Debug)]
-pub struct Job {
-    /// Its body; none once a body that cannot be sent twice has been sent.
-    pub body: Option<Upload>,
-    /// Time by which its caller wants the answer.
+pub struct ParsedRequest {
+    /// Body; none once a body that cannot be sent twice has been sent.
+    pub body: Option<RequestBody>,
+    /// Time by which the client needs the response.
     pub deadline: Duration,
-    /// Its idempotency key.
+    /// Hash of the idempotency key, if there is one.
     pub key: Option<KeyHash>,
     /// Method, target and headers.
     pub parts: Parts,
-    /// Its service.
+    /// Name of the service.
     pub service: Box<str>,
 }
 
-impl Job {
-    /// Reads and checks a request.
+impl ParsedRequest {
+    /// Parses and validates a request.
     ///
     /// # Errors
     ///
     /// The code of the first fault; the request did not run.
     pub async fn read(node: &Rc<Node>, request: Request<Incoming>) -> Result<Self, Code> {
         let (mut parts, body) = request.into_parts();
-        let name = host(&parts.headers)?;
-        framing(&parts.headers)?;
+        let name = host_name(&parts.headers)?;
+        check_framing(&parts.headers)?;
         let (service, limit, default) = {
-            let configuration = node.known.configuration.borrow();
+            let configuration = node.view.configuration.borrow();
             let service = configuration.by_host(&name).ok_or(Code::RequestService)?;
             let default = Duration::from_millis(service.requests.deadline_ms);
             (service.name.clone(), service.limits.body_bytes, default)
         };
         let deadline = deadline::read(&parts.headers, node.now(), default)?;
-        let key = key(&parts.headers, &service)?;
-        let body = Upload::read(&parts.headers, body, limit).await?;
-        strip(&mut parts.headers);
+        let key = idempotency_key(&parts.headers, &service)?;
+        let body = RequestBody::read(&parts.headers, body, limit).await?;
+        strip_hop_headers(&mut parts.headers);
         Ok(Self {
             body: Some(body),
             deadline,
@@ -102,22 +102,23 @@
         })
     }
 
-    /// Hash of what makes the request differ from another one with the same key.
-    pub fn print(&self) -> u64 {
+    /// Returns a hash that distinguishes the request from a different one with the same key.
+    pub fn fingerprint(&self) -> u64 {
         let mut hasher = siphasher::sip::SipHasher13::new();
         self.parts.method.hash(&mut hasher);
         self.parts.uri.hash(&mut hasher);
         let length = self.parts.headers.get(CONTENT_LENGTH);
         length.hash(&mut hasher);
-        if let Some(Upload::Held(Some(bytes))) = &self.body {
+        if let Some(RequestBody::Buffered(Some(bytes))) = &self.body {
             bytes.hash(&mut hasher);
         }
         hasher.finish()
     }
 
-    /// The request as it is sent, with the time that is left; none if its body is gone.
-    pub fn request(&mut self, left: Duration) -> Option<Request<Upload>> {
-        let body = match self.body.as_ref()?.copy() {
+    /// Builds the request for an endpoint, with the remaining time; none if its body has been sent
+    /// and cannot be sent twice.
+    pub fn request(&mut self, left: Duration) -> Option<Request<RequestBody>> {
+        let body = match self.body.as_ref()?.try_clone() {
             Some(copy) => copy,
             None => self.body.take()?,
         };
@@ -128,7 +129,7 @@
 }
 
 /// Removes the headers that concern one connection only.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -136,13 +137,13 @@
         .flat_map(|text| text.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_HEADERS) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
 
-/// Refuses what two readers could understand as bodies of different lengths.
-fn framing(headers: &HeaderMap) -> Result<(), Code> {
+/// Rejects headers that two parsers could read as bodies of different lengths.
+fn check_framing(headers: &HeaderMap) -> Result<(), Code> {
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let encodings = headers.get_all(TRANSFER_ENCODING).iter().count();
     match (lengths, encodings) {
@@ -151,7 +152,7 @@
     }
 }
 
-fn host(headers: &HeaderMap) -> Result<String, Code> {
+fn host_name(headers: &HeaderMap) -> Result<String, Code> {
     let mut hosts = headers.get_all(HOST).iter();
     let host = match (hosts.next(), hosts.next()) {
         (Some(host), None) => host.to_str().map_err(|_| Code::RequestMalformed)?,
@@ -160,7 +161,7 @@
     Ok(host.split(':').next().unwrap_or(host).to_ascii_lowercase())
 }
 
-fn key(headers: &HeaderMap, service: &str) -> Result<Option<KeyHash>, Code> {
+fn idempotency_key(headers: &HeaderMap, service: &str) -> Result<Option<KeyHash>, Code> {
     let mut keys = headers.get_all(KEY_HEADER).iter();
     let text = match (keys.next(), keys.next()) {
         (None, _) => return Ok(None),
@@ -168,7 +169,7 @@
         (Some(_), Some(_)) => return Err(Code::RequestMalformed),
     };
     let text = text.trim().trim_matches('"');
-    if text.is_empty() || text.len() > KEY_BYTES {
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
         return Err(Code::RequestMalformed);
     }
     let mut hasher = SipHasher13::new();
--- a/crates/daemon/src/pending.rs
+++ b/crates/daemon/src/pending.rs
@@ -1,4 +1,4 @@
-//! Requests whose end the holders of their keys are not told yet.
+//! Count of keyed requests whose outcome has not been reported to the holders of their keys.
 
 use std::{
     cell::Cell,
@@ -8,49 +8,49 @@
 
 use event_listener::Event;
 
-/// Time for which a stop waits until the holders are told how the last requests ended.
-const STOP_PATIENCE: Duration = Duration::from_secs(30);
+/// Time for which a shutdown waits until the last outcomes are reported.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How many requests there are whose end the holders are not told yet.
+/// Number of requests whose outcome has not been reported.
 #[derive(Debug, Default)]
-pub struct Untold {
+pub struct PendingCount {
     count: Cell<usize>,
-    told: Event,
+    reported: Event,
 }
 
-impl Untold {
-    /// Waits for a while until the holders are told how all requests ended.
-    pub async fn none(&self) {
+impl PendingCount {
+    /// Waits up to [`SHUTDOWN_TIMEOUT`] until all outcomes are reported.
+    pub async fn wait_reported(&self) {
         let wait = async {
             while self.count.get() > 0 {
-                let listener = self.told.listen();
+                let listener = self.reported.listen();
                 if self.count.get() > 0 {
                     listener.await;
                 }
             }
         };
-        let _late = compio::time::timeout(STOP_PATIENCE, wait).await;
+        let _late = compio::time::timeout(SHUTDOWN_TIMEOUT, wait).await;
     }
 }
 
-/// Counts a request with a key until the holders are told of its end; a stop waits for it.
+/// Counts a request as pending until it is dropped; a shutdown waits for it.
 #[derive(Debug)]
 pub struct Pending {
-    untold: Rc<Untold>,
+    pending: Rc<PendingCount>,
 }
 
 impl Pending {
-    /// Counts one more request.
-    pub fn new(untold: Rc<Untold>) -> Self {
-        untold.count.set(untold.count.get() + 1);
-        Self { untold }
+    /// Adds a request to the count.
+    pub fn new(pending: Rc<PendingCount>) -> Self {
+        pending.count.set(pending.count.get() + 1);
+        Self { pending }
     }
 }
 
 impl Drop for Pending {
     fn drop(&mut self) {
-        let count = &self.untold.count;
+        let count = &self.pending.count;
         count.set(count.get().saturating_sub(1));
-        self.untold.told.notify(usize::MAX);
+        self.pending.reported.notify(usize::MAX);
     }
 }
--- a/crates/daemon/src/proposals.rs
+++ b/crates/daemon/src/proposals.rs
@@ -1,4 +1,4 @@
-//! Requests that only the leading store can take.
+//! Proposals, which only the leader of the stores can accept.
 
 use std::{
     net::SocketAddr,
@@ -27,17 +27,17 @@
 
 use crate::{
     convert,
-    links,
-    node::Node, //
+    node::Node,
+    raft_transport, //
 };
 
-/// Time after which the outcome of a request counts as unknown.
+/// Time after which the outcome of a proposal counts as unknown.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time after which a store that does not say who it is is given up.
+/// Time limit for a store to identify itself.
 const IDENTIFY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Hands an edit to the leader, which may be this instance.
+/// Proposes an edit to the leader, which may be this instance.
 pub async fn edit(node: &Rc<Node>, edit: Edit) -> Outcome {
     match propose(node, Proposal::Edit(edit)).await {
         Decision::Changed => refused(Code::EditUnknown, "the leader gave no outcome".into()),
@@ -46,14 +46,14 @@
     }
 }
 
-/// Hands a request to the leader, which may be this instance. One that can't be taken is refused
-/// at once.
+/// Submits a proposal to the leader, which may be this instance. It is refused at once if no leader
+/// can accept it.
 pub async fn propose(node: &Rc<Node>, proposal: Proposal) -> Decision {
     let Some(replica) = &node.replica else {
         return no_leader("this instance is not a store");
     };
     if replica.borrow().raft().leads() {
-        return decide(node, proposal).await;
+        return propose_locally(node, proposal).await;
     }
     if replica.borrow().raft().cluster().is_none() {
         let advice = "this store has not been initialised; run `mimosausher init`";
@@ -71,13 +71,13 @@
     }
 }
 
-/// Decides a request if this store leads, and refuses it otherwise.
-pub async fn decide(node: &Rc<Node>, proposal: Proposal) -> Decision {
+/// Submits a proposal to this store's replica, which refuses it unless it is the leader.
+pub async fn propose_locally(node: &Rc<Node>, proposal: Proposal) -> Decision {
     let Some(replica) = &node.replica else {
         return no_leader("this instance is not a store");
     };
     let receiver = match proposal {
-        Proposal::Add(store) => match member(node, store).await {
+        Proposal::Add(store) => match identify_member(node, store).await {
             Ok(member) => {
                 let change = Change::Add(member);
                 let event = |token| Event::Change(change, token);
@@ -86,7 +86,7 @@
             Err(refusal) => return refusal,
         },
         Proposal::Edit(edit) => {
-            let edit = convert::edit(edit, epoch_millis());
+            let edit = convert::edit_from_wire(edit, epoch_millis());
             replica
                 .borrow_mut()
                 .submit(|token| Event::Edit(edit, token))
@@ -102,12 +102,12 @@
         Ok(Ok(Answer::Outcome(outcome))) => Decision::Outcome(replica::outcome(outcome)),
         Ok(Ok(Answer::Refused(code, advice))) => Decision::Refused(code, advice),
         Ok(Ok(Answer::Current | Answer::Published(_)) | Err(_)) | Err(_) => {
-            unknown("the store did not answer in time")
+            outcome_unknown("the store did not answer in time")
         }
     }
 }
 
-/// What this store says of its data folder.
+/// Returns the identity of this store's data folder; none if this instance is not a store.
 pub fn identity(node: &Node) -> Option<Identity> {
     let replica = node.replica.as_ref()?.borrow();
     Some(Identity {
@@ -118,26 +118,26 @@
 }
 
 async fn forward(leader: SocketAddr, proposal: Proposal) -> Decision {
-    let Some(client) = links::connect(leader).await else {
+    let Some(client) = raft_transport::connect(leader).await else {
         return no_leader("the leader cannot be reached");
     };
     let call = client.propose(context::current(), proposal);
     match compio::time::timeout(ANSWER_TIMEOUT, call).await {
         Ok(Ok(decision)) => decision,
-        Ok(Err(_)) | Err(_) => unknown("the leader did not answer"),
+        Ok(Err(_)) | Err(_) => outcome_unknown("the leader did not answer"),
     }
 }
 
-/// Asks a store which data folder it has.
+/// Queries the identity of a store's data folder.
 async fn identify(address: SocketAddr) -> Option<Identity> {
-    let client = links::connect(address).await?;
+    let client = raft_transport::connect(address).await?;
     let call = client.identify(context::current());
     let answer = compio::time::timeout(IDENTIFY_TIMEOUT, call).await;
     answer.ok()?.ok()?
 }
 
-/// The store at an address, as a member of this store's log.
-async fn member(node: &Node, store: StoreAddress) -> Result<Member, Decision> {
+/// Identifies the store at an address and describes it as a non-voting member of this store's log.
+async fn identify_member(node: &Node, store: StoreAddress) -> Result<Member, Decision> {
     let own = identity(node).and_then(|own| own.cluster);
     let refuse = |advice: String| Decision::Refused(Code::MembersRefused, advice.into());
     let Some(identity) = identify(store.inner).await else {
@@ -171,6 +171,6 @@
     }
 }
 
-fn unknown(advice: &str) -> Decision {
+fn outcome_unknown(advice: &str) -> Decision {
     Decision::Refused(Code::EditUnknown, advice.into())
 }
--- a/crates/daemon/src/published.rs
+++ b/crates/daemon/src/published.rs
@@ -1,4 +1,4 @@
-//! What a store hands to followers.
+//! The document that a store publishes to its followers.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     Update, //
 };
 
-/// The latest document of this store's replica, and when its sections changed.
+/// The latest document of this store's replica, with the revisions at which its sections changed.
 #[derive(Clone, Debug, Default)]
 pub struct Published {
     changes: Changes,
@@ -21,7 +21,7 @@
 }
 
 impl Published {
-    /// Takes a later document of the replica.
+    /// Records a later document of the replica.
     pub fn record(&mut self, update: Update) {
         let sections = update.sections.iter().map(|section| Section {
             name: section.name.clone(),
@@ -41,7 +41,7 @@
         self.revision
     }
 
-    /// What a follower lacks that has `revision`; none if nothing.
+    /// Returns the changes since `revision`; none if the follower is up to date.
     pub fn since(&self, revision: u64) -> Option<Delta> {
         if revision >= self.revision {
             return None;
--- a/crates/daemon/src/replicated.rs
+++ b/crates/daemon/src/replica_document.rs
@@ -1,4 +1,4 @@
-//! What the daemon reads from its replica, in the words of the inner protocol.
+//! Conversion of the replica's document into the type of the RPC protocol.
 
 use replica::Replica;
 use wire::{
@@ -6,8 +6,8 @@
     Update, //
 };
 
-/// The document for a follower that has `revision`, if there is a newer one.
-pub fn update(replica: &Replica, revision: u64) -> Option<Update> {
+/// Returns the replica's whole document if it is newer than `revision`.
+pub fn update_since(replica: &Replica, revision: u64) -> Option<Update> {
     let ledger = replica.ledger();
     if ledger.revision().0 <= revision {
         return None;
--- a/crates/daemon/src/around.rs
+++ b/crates/daemon/src/replica_io.rs
@@ -1,4 +1,4 @@
-//! The process around the store's driver.
+//! I/O of the replica's driver.
 
 use std::{
     cell::{
@@ -21,40 +21,40 @@
 };
 
 use crate::{
-    links::Links,
-    node::Node, //
+    node::Node,
+    raft_transport::RaftTransport, //
 };
 
-/// The process around the store's driver.
-struct Around<'a> {
-    links: RefCell<Links>,
+/// Connects the replica's driver to the network, the clock and the followers.
+struct ReplicaIo<'a> {
+    transport: RefCell<RaftTransport>,
     node: &'a Node,
     replica: &'a RefCell<Replica>,
-    /// Revision that followers were told of last.
+    /// Latest revision that followers were notified of.
     revision: Cell<Revision>,
 }
 
-/// Runs the store until the process ends; an instance without one returns at once.
+/// Runs the replica until the process ends; returns at once on an instance without one.
 pub async fn run(node: Rc<Node>, folder: Folder) {
     let Some(replica) = &node.replica else {
         return;
     };
-    let around = Around {
-        links: RefCell::new(Links::new(node.clone())),
+    let io = ReplicaIo {
+        transport: RefCell::new(RaftTransport::new(node.clone())),
         node: &node,
         replica,
         revision: Cell::new(replica.borrow().ledger().revision()),
     };
-    replica::run(&around, folder).await;
+    replica::run(&io, folder).await;
 }
 
-impl Surroundings for Around<'_> {
+impl Surroundings for ReplicaIo<'_> {
     fn handled(&self) {
         let revision = self.replica.borrow().ledger().revision();
         if revision > self.revision.get() {
             self.revision.set(revision);
-            self.node.spread.record(&self.replica.borrow());
-            self.node.changed.notify(usize::MAX);
+            self.node.document_sync.record(&self.replica.borrow());
+            self.node.replica_changed.notify(usize::MAX);
         }
     }
 
@@ -67,6 +67,6 @@
     }
 
     fn send(&self, to: SocketAddr, message: &Message) {
-        self.links.borrow_mut().send(to, message.encode());
+        self.transport.borrow_mut().send(to, message.encode());
     }
 }
--- a/crates/daemon/src/requests.rs
+++ b/crates/daemon/src/requests.rs
@@ -1,4 +1,4 @@
-//! The face towards callers: HTTP/1.1 requests, each placed by itself.
+//! The HTTP/1.1 interface for clients; each request is placed individually.
 
 use std::rc::Rc;
 
@@ -14,43 +14,43 @@
 
 use crate::{
     attempt,
-    job::{
-        self,
-        Job, //
-    },
-    keyed,
+    error_response::ErrorResponse,
+    idempotency,
     metrics::ServiceLabel,
     node::Node,
-    refusal::Refusal,
-    refused::Refused,
-    tracked::AnswerBody, //
+    parsed_request::{
+        self,
+        ParsedRequest, //
+    },
+    request_error::RequestError,
+    tracked_body::ResponseBody, //
 };
 
-/// Answers callers.
+/// Handles the requests of clients.
 #[derive(Clone, Debug)]
-pub struct Requests {
+pub struct RequestHandler {
     node: Rc<Node>,
 }
 
-impl Requests {
-    /// Creates the face of a node.
+impl RequestHandler {
+    /// Creates the handler of a node.
     pub const fn new(node: Rc<Node>) -> Self {
         Self { node }
     }
 }
 
-impl Handler for Requests {
-    type Body = AnswerBody;
+impl Handler for RequestHandler {
+    type Body = ResponseBody;
 
     fn handle(
         &self,
         request: Request<Incoming>,
-    ) -> impl Future<Output = Response<AnswerBody>> + 'static {
+    ) -> impl Future<Output = Response<ResponseBody>> + 'static {
         let node = self.node.clone();
         async move {
             match serve(&node, request).await {
-                Ok(answer) => answer,
-                Err(refused) => refuse(&node, refused),
+                Ok(response) => response,
+                Err(error) => respond_error(&node, error),
             }
         }
     }
@@ -59,26 +59,26 @@
 async fn serve(
     node: &Rc<Node>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Refused> {
-    let job = Job::read(node, request).await?;
+) -> Result<Response<ResponseBody>, RequestError> {
+    let parsed = ParsedRequest::read(node, request).await?;
     let label = ServiceLabel {
-        service: job.service.clone().into(),
+        service: parsed.service.clone().into(),
     };
-    let answer = match job.key.clone() {
-        Some(key) => keyed::serve(node, job, key).await?,
+    let response = match parsed.key.clone() {
+        Some(key) => idempotency::serve(node, parsed, key).await?,
         None => {
-            let mut response = attempt::run(node, job).await?;
-            job::strip(response.headers_mut());
-            response.map(|body| Either::Left(body.settled()))
+            let mut response = attempt::run(node, parsed).await?;
+            parsed_request::strip_hop_headers(response.headers_mut());
+            response.map(|body| Either::Left(body.finish_if_empty()))
         }
     };
     node.metrics.requests.get_or_create(&label).inc();
-    Ok(answer)
+    Ok(response)
 }
 
-fn refuse(node: &Node, refused: Refused) -> Response<AnswerBody> {
-    let code = refused.code;
-    node.metrics.refuse(code);
+fn respond_error(node: &Node, error: RequestError) -> Response<ResponseBody> {
+    let code = error.code;
+    node.metrics.count_refusal(code);
     let status = match code {
         Code::RequestMalformed => StatusCode::BAD_REQUEST,
         Code::RequestService => StatusCode::MISDIRECTED_REQUEST,
@@ -89,8 +89,8 @@
         Code::KeyMismatch => StatusCode::UNPROCESSABLE_ENTITY,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    Refusal::new(code, code.name())
-        .with_after(refused.after)
+    ErrorResponse::new(code, code.name())
+        .with_retry_after(error.retry_after)
         .response(status)
         .map(Either::Right)
 }
--- a/crates/daemon/src/router.rs
+++ b/crates/daemon/src/router.rs
@@ -1,4 +1,4 @@
-//! The steering of flows with what it needs of the other state machines.
+//! Routing of packets: connects the steering of flows to the other state machines.
 
 use std::{
     collections::HashMap,
@@ -28,77 +28,77 @@
 
 use crate::{
     convert,
-    known::Known,
-    reach::Reach, //
+    local_view::LocalView,
+    reachability::Reachability, //
 };
 
-/// Flows that an instance remembers at most.
-const FLOWS: usize = 500_000;
+/// Maximum number of flows in the flow table.
+const MAX_FLOWS: usize = 500_000;
 
-/// The steering of flows with what it needs of the other state machines.
+/// The steering of flows, with its inputs from the other state machines.
 #[derive(Debug)]
 pub struct Router {
-    /// Where the endpoints take packets.
-    addresses: HashMap<EndpointId, SocketAddr>,
-    /// The other entries by the address of their face towards the fabric.
+    /// Addresses at which the endpoints accept packets.
+    endpoint_addresses: HashMap<EndpointId, SocketAddr>,
+    /// The other entries by their address in the fabric.
     entries: HashMap<SocketAddr, InstanceId>,
-    /// Addresses of the other entries' faces towards the fabric.
-    faces: HashMap<InstanceId, SocketAddr>,
-    known: Rc<Known>,
-    /// The decisions.
-    pub machine: Owners,
-    /// Revision of the document and generation of the directory that the rest was made from.
-    made: (u64, u64),
-    /// Which entries answer.
-    reach: Reach,
+    /// Addresses of the other entries in the fabric.
+    entry_addresses: HashMap<InstanceId, SocketAddr>,
+    view: Rc<LocalView>,
+    /// The state machine that decides on packets.
+    pub steering: Owners,
+    /// Document revision and directory generation that the tables were built from.
+    built_from: (u64, u64),
+    /// Which entries are reachable.
+    reachability: Reachability,
     services: HashMap<steering::Destination, ServiceId>,
 }
 
 impl Router {
-    /// Creates the steering of an instance that knows nobody yet.
-    pub fn new(known: Rc<Known>, instance: &Instance) -> Self {
+    /// Creates the router of an instance that knows no endpoints or entries yet.
+    pub fn new(view: Rc<LocalView>, instance: &Instance) -> Self {
         let own = Peer {
-            centre: centre(&instance.centre),
+            centre: centre_id(&instance.centre),
             id: InstanceId::new(&instance.name),
-            incarnation: known.incarnation(),
+            incarnation: view.incarnation(),
             leaving: false,
             reachable: true,
         };
         Self {
-            addresses: HashMap::new(),
+            endpoint_addresses: HashMap::new(),
             entries: HashMap::new(),
-            faces: HashMap::new(),
-            known,
-            machine: Owners::new(Duration::ZERO, own, FLOWS, rand::random()),
-            made: (0, 0),
-            reach: Reach::default(),
+            entry_addresses: HashMap::new(),
+            view,
+            steering: Owners::new(Duration::ZERO, own, MAX_FLOWS, rand::random()),
+            built_from: (0, 0),
+            reachability: Reachability::default(),
             services: HashMap::new(),
         }
     }
 
-    /// Takes in what the instance knows of endpoints, services and other entries.
+    /// Rebuilds the tables of endpoints, services and other entries.
     pub fn refresh(&mut self) {
-        let now = self.known.now();
-        self.made = self.latest();
-        self.learn_entries(now);
-        self.learn_endpoints(now);
+        let now = self.view.now();
+        self.built_from = self.current_inputs();
+        self.refresh_entries(now);
+        self.refresh_endpoints(now);
     }
 
-    /// Decides on a datagram from the fabric.
+    /// Decides on a packet from the fabric.
     ///
     /// # Errors
     ///
     /// The code of a packet that belongs to no flow of a service.
-    pub fn packet(&mut self, datagram: &[u8]) -> Result<Action<Header>, Code> {
-        if self.made != self.latest() {
+    pub fn route_packet(&mut self, datagram: &[u8]) -> Result<Action<Header>, Code> {
+        if self.built_from != self.current_inputs() {
             self.refresh();
         }
-        let arrival = self.arrival(datagram)?;
-        let action = self.machine.packet(self.known.now(), &arrival);
+        let arrival = self.parse_arrival(datagram)?;
+        let action = self.steering.packet(self.view.now(), &arrival);
         if let Action::Pass(to, header) = action
             && header.returns
         {
-            self.reach.asked(self.known.now(), to);
+            self.reachability.record_sent(self.view.now(), to);
         }
         Ok(action)
     }
@@ -108,45 +108,46 @@
     /// # Errors
     ///
     /// The code of a packet that belongs to no flow of a service.
-    pub fn handed(
+    pub fn route_handover(
         &mut self,
         from: InstanceId,
         header: Header,
         datagram: &[u8],
     ) -> Result<Action<Header>, Code> {
-        if self.made != self.latest() {
+        if self.built_from != self.current_inputs() {
             self.refresh();
         }
-        let arrival = self.arrival(datagram)?;
+        let arrival = self.parse_arrival(datagram)?;
         Ok(self
-            .machine
-            .handed(self.known.now(), from, &arrival, header))
+            .steering
+            .handed(self.view.now(), from, &arrival, header))
     }
 
-    /// The entry that sent a datagram from an address.
-    pub fn heard(&mut self, address: SocketAddr) -> Option<InstanceId> {
+    /// Returns the entry at an address, and records that a datagram was received from it.
+    pub fn sender_entry(&mut self, address: SocketAddr) -> Option<InstanceId> {
         let entry = self.entries.get(&address).copied()?;
-        self.reach.heard(entry);
+        self.reachability.record_received(entry);
         Some(entry)
     }
 
-    /// Where an entry takes packets.
-    pub fn face(&self, entry: InstanceId) -> Option<SocketAddr> {
-        self.faces.get(&entry).copied()
+    /// Returns the address of an entry in the fabric.
+    pub fn entry_address(&self, entry: InstanceId) -> Option<SocketAddr> {
+        self.entry_addresses.get(&entry).copied()
     }
 
-    /// Where an endpoint takes packets.
-    pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
-        self.addresses.get(&endpoint).copied()
+    /// Returns the address at which an endpoint accepts packets.
+    pub fn endpoint_address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
+        self.endpoint_addresses.get(&endpoint).copied()
     }
 
-    /// What the router is made from changes when one of these does.
-    fn latest(&self) -> (u64, u64) {
-        let revision = self.known.configuration.borrow().revision();
-        (revision, self.known.directory.borrow().generation())
+    /// Returns the document revision and the directory generation that are current. The tables are
+    /// out of date if one of them has changed.
+    fn current_inputs(&self) -> (u64, u64) {
+        let revision = self.view.configuration.borrow().revision();
+        (revision, self.view.directory.borrow().generation())
     }
 
-    fn arrival(&self, datagram: &[u8]) -> Result<Arrival, Code> {
+    fn parse_arrival(&self, datagram: &[u8]) -> Result<Arrival, Code> {
         let payload = Payload::new(datagram).map_err(steering::Error::code)?;
         let packet = Packet::parse(payload.0).map_err(steering::Error::code)?;
         let service = self.services.get(&packet.flow.destination);
@@ -157,50 +158,57 @@
         })
     }
 
-    fn learn_entries(&mut self, now: Duration) {
-        let members = self.known.members.borrow();
+    fn refresh_entries(&mut self, now: Duration) {
+        let members = self.view.members.borrow();
         let entries = || {
             members
                 .all()
                 .filter(|member| member.standing != Standing::Dead)
                 .filter_map(|member| Some((member, member.instance.fabric?)))
         };
-        self.faces = entries()
+        self.entry_addresses = entries()
             .map(|(member, fabric)| (InstanceId::new(&member.instance.name), fabric))
             .collect();
-        self.entries = self.faces.iter().map(|(id, face)| (*face, *id)).collect();
+        self.entries = self
+            .entry_addresses
+            .iter()
+            .map(|(id, address)| (*address, *id))
+            .collect();
         let peers: Vec<_> = entries()
             .map(|(member, _)| Peer {
-                centre: centre(&member.instance.centre),
+                centre: centre_id(&member.instance.centre),
                 id: InstanceId::new(&member.instance.name),
                 incarnation: member.instance.incarnation,
                 leaving: member.standing == Standing::Left,
                 reachable: member.standing != Standing::Suspected
                     && self
-                        .reach
-                        .reaches(now, InstanceId::new(&member.instance.name)),
+                        .reachability
+                        .is_reachable(now, InstanceId::new(&member.instance.name)),
             })
             .collect();
-        self.machine.peers(now, &peers);
+        self.steering.peers(now, &peers);
     }
 
-    fn learn_endpoints(&mut self, now: Duration) {
-        let configuration = self.known.configuration.borrow();
-        let directory = self.known.directory.borrow();
-        self.addresses.clear();
+    fn refresh_endpoints(&mut self, now: Duration) {
+        let configuration = self.view.configuration.borrow();
+        let directory = self.view.directory.borrow();
+        self.endpoint_addresses.clear();
         self.services.clear();
         let mut endpoints = Vec::new();
         for (destination, service) in configuration.destinations() {
             let id = ServiceId::new(&service.name);
-            self.services.insert(convert::destination(destination), id);
+            self.services
+                .insert(convert::steering_destination(destination), id);
             for (key, endpoint) in directory.by_service(&service.name) {
                 if !service.allows(&endpoint.name) {
                     continue;
                 }
-                let known = EndpointId::new(&endpoint.name, &service.name, endpoint.incarnation);
-                self.addresses.insert(known, endpoint.address);
+                let endpoint_id =
+                    EndpointId::new(&endpoint.name, &service.name, endpoint.incarnation);
+                self.endpoint_addresses
+                    .insert(endpoint_id, endpoint.address);
                 endpoints.push(Endpoint {
-                    id: known,
+                    id: endpoint_id,
                     load: endpoint.load,
                     service: id,
                     share: match endpoint.connections < service.limits.connections {
@@ -212,11 +220,11 @@
                 });
             }
         }
-        self.machine.endpoints(now, &endpoints);
+        self.steering.endpoints(now, &endpoints);
     }
 }
 
-/// Number of a data centre that all instances derive alike.
-fn centre(name: &str) -> u64 {
+/// Returns the id of a data centre, which all instances derive from its name.
+fn centre_id(name: &str) -> u64 {
     ServiceId::new(name).0
 }
--- a/crates/daemon/src/clients.rs
+++ b/crates/daemon/src/rpc_clients.rs
@@ -1,4 +1,4 @@
-//! Connections to other instances, for calls about claims.
+//! RPC clients of other instances, for calls about claims.
 
 use std::{
     cell::RefCell,
@@ -17,49 +17,49 @@
 };
 use wire::Client;
 
-use crate::known::Known;
+use crate::local_view::LocalView;
 
-/// Time after which a connection that is not made is given up.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connections to other instances, opened when they are first used.
+/// RPC clients of other instances, connected on first use.
 #[derive(Debug)]
-pub struct Clients {
-    known: Rc<Known>,
+pub struct RpcClients {
+    view: Rc<LocalView>,
     open: RefCell<BTreeMap<SocketAddr, Client>>,
 }
 
-impl Clients {
+impl RpcClients {
     /// Creates an empty set.
-    pub const fn new(known: Rc<Known>) -> Self {
+    pub const fn new(view: Rc<LocalView>) -> Self {
         Self {
-            known,
+            view,
             open: RefCell::new(BTreeMap::new()),
         }
     }
 
-    /// Calls an instance by its name; none if it is not known or does not reply in time.
+    /// Calls an instance by its name; none if it is unknown or does not reply within `timeout`.
     pub async fn call<R, F>(
         &self,
         name: &str,
-        patience: Duration,
+        timeout: Duration,
         call: impl FnOnce(Client, Context) -> F,
     ) -> Option<R>
     where
         F: Future<Output = Result<R, RpcError>>,
     {
         let address = {
-            let members = self.known.members.borrow();
+            let members = self.view.members.borrow();
             members.iter().find(|member| &*member.name == name)?.inner
         };
-        self.call_at(address, patience, call).await
+        self.call_at(address, timeout, call).await
     }
 
-    /// Calls the instance at an address; none if it does not reply in time.
+    /// Calls the instance at an address; none if it does not reply within `timeout`.
     pub async fn call_at<R, F>(
         &self,
         address: SocketAddr,
-        patience: Duration,
+        timeout: Duration,
         call: impl FnOnce(Client, Context) -> F,
     ) -> Option<R>
     where
@@ -67,12 +67,12 @@
     {
         let client = self.connect(address).await?;
         let call = call(client, context::current());
-        let reason = match compio::time::timeout(patience, call).await {
+        let reason = match compio::time::timeout(timeout, call).await {
             Ok(Ok(reply)) => return Some(reply),
             Ok(Err(error)) => error.to_string(),
             Err(error) => error.to_string(),
         };
-        log::debug!(instance = address.to_string(), reason; "a call to another instance is given up");
+        log::debug!(instance = address.to_string(), reason; "a call to another instance failed");
         self.open.borrow_mut().remove(&address);
         None
     }
@@ -91,7 +91,7 @@
             Ok(Err(error)) => error.to_string(),
             Err(error) => error.to_string(),
         };
-        log::debug!(instance = address.to_string(), reason; "another instance is not reached");
+        log::debug!(instance = address.to_string(), reason; "cannot connect to another instance");
         None
     }
 }
--- a/crates/daemon/src/inner.rs
+++ b/crates/daemon/src/rpc_server.rs
@@ -1,4 +1,4 @@
-//! The calls that this instance answers to others.
+//! The RPC server for calls of other instances.
 
 use std::{
     rc::Rc, //
@@ -32,13 +32,13 @@
     convert_claims,
     node::Node,
     proposals,
-    serving,
-    status, //
+    status,
+    store_reads, //
 };
 
-/// Answers other instances' calls.
+/// Handles RPC calls of other instances.
 #[derive(Clone, Debug)]
-pub struct Service {
+pub struct RpcHandler {
     node: Rc<Node>,
 }
 
@@ -47,30 +47,35 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let service = Service { node: node.clone() };
+                let service = RpcHandler { node: node.clone() };
                 compio::runtime::spawn(wire::serve(stream, service)).detach();
             }
-            Err(error) => log::warn!("a connection could not be accepted: {error}"),
+            Err(error) => log::warn!("cannot accept a connection: {error}"),
         }
     }
 }
 
-impl Inner for Service {
+impl Inner for RpcHandler {
     async fn audit(self, _: Context, query: AuditQuery) -> Option<Vec<AuditLine>> {
-        let lines = serving::audit(&self.node, &query);
-        lines.filter(|_| serving::confirmed(&self.node))
+        let lines = store_reads::audit(&self.node, &query);
+        lines.filter(|_| store_reads::confirmed(&self.node))
     }
 
     async fn beat(self, _: Context) {}
 
     async fn claim(self, _: Context, claim: Claim) -> ClaimReply {
-        let claim = convert_claims::received(claim);
-        convert_claims::replied(self.node.claims.reply(claim))
+        let claim = convert_claims::claim_from_wire(claim);
+        convert_claims::reply_to_wire(self.node.claims.handle_claim(claim))
     }
 
     async fn claims(self, _: Context) -> Option<Vec<ClaimRecord>> {
         let records = self.node.claims.records()?;
-        Some(records.into_iter().map(convert_claims::recorded).collect())
+        Some(
+            records
+                .into_iter()
+                .map(convert_claims::record_to_wire)
+                .collect(),
+        )
     }
 
     async fn edit(self, _: Context, edit: Edit) -> Outcome {
@@ -78,12 +83,12 @@
     }
 
     async fn follow(self, _: Context, follow: Follow) -> Option<Followed> {
-        serving::follow(&self.node, follow).await
+        store_reads::follow(&self.node, follow).await
     }
 
     async fn history(self, _: Context, section: Box<str>) -> Option<Vec<PastVersion>> {
-        let versions = serving::history(&self.node, &section);
-        versions.filter(|_| serving::confirmed(&self.node))
+        let versions = store_reads::history(&self.node, &section);
+        versions.filter(|_| store_reads::confirmed(&self.node))
     }
 
     async fn identify(self, _: Context) -> Option<Identity> {
@@ -91,24 +96,26 @@
     }
 
     async fn latest(self, _: Context) -> Option<u64> {
-        serving::latest(&self.node)
+        store_reads::latest(&self.node)
     }
 
     async fn log(self, _: Context, log: LogMessage) {
         match (&self.node.replica, Message::decode(&log.bytes)) {
             (Some(replica), Some(message)) => replica.borrow_mut().receive(log.address, message),
-            (Some(_), None) => self.node.metrics.refuse(Code::MessageMalformed),
+            (Some(_), None) => self.node.metrics.count_refusal(Code::MessageMalformed),
             (None, _) => {}
         }
     }
 
     async fn propose(self, _: Context, proposal: Proposal) -> Decision {
-        proposals::decide(&self.node, proposal).await
+        proposals::propose_locally(&self.node, proposal).await
     }
 
     async fn settle(self, _: Context, claim: Claim, end: ClaimEnd) -> bool {
-        let claim = convert_claims::received(claim);
-        self.node.claims.settled(&claim, convert_claims::ended(end));
+        let claim = convert_claims::claim_from_wire(claim);
+        self.node
+            .claims
+            .record_settled(&claim, convert_claims::settled_from_wire(end));
         true
     }
 
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting, running and stopping the daemon.
+//! Start-up, run time and shutdown of the daemon.
 
 use std::{
     ffi::OsString,
@@ -24,31 +24,31 @@
 use settings::Settings;
 
 use crate::{
-    admin::Admin,
-    around,
+    admin::AdminHandler,
     datagrams,
     error::Error,
     exit::Exit,
     fabric,
-    flows,
+    flow_maintenance,
     follower,
-    inner,
     listeners::Listeners,
-    logs,
+    logging,
     node::Node,
     options::Options,
-    requests::Requests, //
+    replica_io,
+    requests::RequestHandler,
+    rpc_server, //
 };
 
-/// Runs the daemon as the command line says.
+/// Runs the daemon with the process's command line.
 pub fn run() -> ExitCode {
-    let words: Vec<_> = std::env::args_os()
+    let arguments: Vec<_> = std::env::args_os()
         .skip(1)
         .map(OsString::into_string)
-        .map(|word| word.unwrap_or_else(|word| word.to_string_lossy().into_owned()))
+        .map(|argument| argument.unwrap_or_else(|argument| argument.to_string_lossy().into_owned()))
         .collect();
-    match Options::parse_args(&words, ParsingStyle::AllOptions) {
-        Ok(options) => command(&options).into(),
+    match Options::parse_args(&arguments, ParsingStyle::AllOptions) {
+        Ok(options) => execute(&options).into(),
         Err(error) => {
             eprintln!("mimosausherd: {error}");
             Exit::Usage.into()
@@ -56,7 +56,7 @@
     }
 }
 
-fn command(options: &Options) -> Exit {
+fn execute(options: &Options) -> Exit {
     if options.help {
         println!(
             "Usage: mimosausherd [OPTIONS] SETTINGS\n\n{}",
@@ -99,7 +99,7 @@
 }
 
 fn start(settings: Settings, handlers: Handlers) -> Result<(), Error> {
-    let _log = logs::start(&settings.log)?;
+    let _log = logging::start(&settings.log)?;
     let timers = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
@@ -109,7 +109,7 @@
     runtime.block_on(serve(settings, handlers))
 }
 
-/// Runs all roles until the planned stop is done.
+/// Runs all roles until the graceful shutdown is complete.
 async fn serve(settings: Settings, handlers: Handlers) -> Result<(), Error> {
     let signals = Signals::new(handlers).map_err(Error::Runtime)?;
     let listeners = Listeners::open(&settings.listen).await?;
@@ -117,37 +117,41 @@
     let (node, folder) = Node::new(settings, addresses)?;
     let node = Rc::new(node);
     let socket = Rc::new(listeners.datagrams);
-    // The cell is empty: this is the only place that sets it.
+    // The cell is still empty, since nothing else sets it.
     let _set = node.socket.set(socket.clone());
     spawn(datagrams::receive(node.clone(), socket)).detach();
-    spawn(datagrams::beat(node.clone())).detach();
+    spawn(datagrams::run_ticks(node.clone())).detach();
     if let Some(folder) = folder {
-        spawn(around::run(node.clone(), folder)).detach();
+        spawn(replica_io::run(node.clone(), folder)).detach();
     }
-    spawn(inner::accept(node.clone(), listeners.calls)).detach();
+    spawn(rpc_server::accept(node.clone(), listeners.rpc)).detach();
     spawn(follower::follow(node.clone())).detach();
     spawn(stop_on_signal(node.clone(), signals)).detach();
-    let admin = process::serve(node.stop.clone(), listeners.admin, Admin::new(node.clone()));
+    let admin = process::serve(
+        node.stop.clone(),
+        listeners.admin,
+        AdminHandler::new(node.clone()),
+    );
     let admin = spawn(admin);
-    let asked = listeners.faces.is_some() && node.claims.ask_unused().await;
-    let callers = listeners.faces.map(|faces| {
-        spawn(node.claims.clone().maintain(asked)).detach();
-        let fabric = Rc::new(faces.fabric);
+    let unused_known = listeners.entry.is_some() && node.claims.query_unused().await;
+    let entry_tasks = listeners.entry.map(|entry| {
+        spawn(node.claims.clone().maintain(unused_known)).detach();
+        let fabric = Rc::new(entry.fabric);
         spawn(fabric::forward(node.clone(), fabric.clone())).detach();
-        let flows = spawn(flows::tend(node.clone(), fabric));
-        let handler = Requests::new(node.clone());
-        let requests = spawn(process::serve(node.stop.clone(), faces.requests, handler));
+        let flows = spawn(flow_maintenance::run(node.clone(), fabric));
+        let handler = RequestHandler::new(node.clone());
+        let requests = spawn(process::serve(node.stop.clone(), entry.requests, handler));
         (flows, requests)
     });
     if let Ok(line) = serde_json::to_string(&node.addresses) {
         println!("{line}");
     }
     log::info!(name = &*node.settings.instance.name; "started");
-    if let Some((flows, requests)) = callers {
+    if let Some((flows, requests)) = entry_tasks {
         let _ended = requests.await;
-        node.claims.idle().await;
+        node.claims.wait_reported().await;
         let _ended = flows.await;
-        flows::linger(&node).await;
+        flow_maintenance::linger(&node).await;
     }
     let _ended = admin.await;
     log::info!("stopped");
@@ -157,14 +161,18 @@
 async fn stop_on_signal(node: Rc<Node>, mut signals: Signals) {
     loop {
         match signals.next().await {
-            Ok(Signal::Reload) => log::info!("the settings are read at the start only"),
-            Ok(Signal::Stop) if node.stop.begun() => log::info!("already stopping"),
+            Ok(Signal::Reload) => {
+                log::info!("ignoring SIGHUP: the settings are read at start-up only")
+            }
+            Ok(Signal::Stop) if node.stop.begun() => {
+                log::info!("the shutdown is already in progress")
+            }
             Ok(Signal::Stop) => {
                 log::info!("stopping");
                 node.stop.begin();
                 datagrams::leave(&node).await;
             }
-            Err(error) => return log::error!("no signals can be received: {error}"),
+            Err(error) => return log::error!("cannot receive signals: {error}"),
         }
     }
 }
--- a/crates/daemon/src/slot.rs
+++ b/crates/daemon/src/slot.rs
@@ -1,4 +1,4 @@
-//! A request's place at an endpoint.
+//! The slot of a request at an endpoint.
 
 use std::{
     rc::Rc,
@@ -15,96 +15,99 @@
 use futures::channel::oneshot::Receiver;
 
 use crate::{
-    refused::Refused,
-    services::{
-        Placed,
-        Services, //
+    request_error::RequestError,
+    service_pools::{
+        Placement,
+        ServicePools, //
     },
 };
 
-/// A request in its service's pool. It leaves the pool when this is dropped: a caller that leaves
-/// frees its slot at once.
+/// A request's slot in its service's pool. Dropping it removes the request from the pool, so that a
+/// client that disconnects frees its slot at once.
 #[derive(Debug)]
 pub struct Slot {
-    live: bool,
+    occupied: bool,
     service: Box<str>,
-    services: Rc<Services>,
+    pools: Rc<ServicePools>,
     ticket: Ticket,
 }
 
 impl Slot {
-    /// Waits for a place for a new request.
+    /// Waits for a slot for a new request.
     ///
     /// # Errors
     ///
     /// The refusal of the pool; the request did not run.
     pub async fn admit(
-        services: &Rc<Services>,
+        pools: &Rc<ServicePools>,
         service: &str,
         deadline: Duration,
-    ) -> Result<(Self, EndpointKey), Refused> {
-        let ticket = services.ticket();
+    ) -> Result<(Self, EndpointKey), RequestError> {
+        let ticket = pools.new_ticket();
         let mut slot = Self {
-            live: true,
+            occupied: true,
             service: service.into(),
-            services: services.clone(),
+            pools: pools.clone(),
             ticket,
         };
-        let placed = services.arrive(service, ticket, deadline);
-        let key = slot.placed(placed).await?;
+        let placed = pools.submit(service, ticket, deadline);
+        let key = slot.await_placement(placed).await?;
         Ok((slot, key))
     }
 
-    /// Waits for another place for a request that did not run at the first.
+    /// Waits for another slot for a request that did not run in the previous one.
     ///
     /// # Errors
     ///
     /// The refusal of the pool; the request did not run.
-    pub async fn again(&mut self, outcome: Outcome) -> Result<EndpointKey, Refused> {
-        let placed = self.services.wait(self.ticket);
+    pub async fn place_again(&mut self, outcome: Outcome) -> Result<EndpointKey, RequestError> {
+        let placed = self.pools.register_waiter(self.ticket);
         let ticket = self.ticket;
-        self.services
+        self.pools
             .refresh(&self.service, outcome == Outcome::Unreachable);
-        self.services
-            .give(&self.service, Event::Ended { outcome, ticket });
-        self.placed(placed).await
+        self.pools
+            .handle_event(&self.service, Event::Ended { outcome, ticket });
+        self.await_placement(placed).await
     }
 
-    /// Hands the place over to another owner; this one no longer frees it.
-    pub fn hand_over(&mut self) -> Self {
-        let live = std::mem::take(&mut self.live);
+    /// Transfers the slot to a new owner; this one no longer frees it.
+    pub fn transfer(&mut self) -> Self {
+        let occupied = std::mem::take(&mut self.occupied);
         Self {
-            live,
+            occupied,
             service: self.service.clone(),
-            services: self.services.clone(),
+            pools: self.pools.clone(),
             ticket: self.ticket,
         }
     }
 
-    /// Takes note of how the request ended.
-    pub fn end(&mut self, outcome: Outcome) {
-        if !self.live {
+    /// Frees the slot and reports the request's outcome to the pool.
+    pub fn finish(&mut self, outcome: Outcome) {
+        if !self.occupied {
             return;
         }
-        self.live = false;
+        self.occupied = false;
         let ticket = self.ticket;
-        self.services
-            .give(&self.service, Event::Ended { outcome, ticket });
+        self.pools
+            .handle_event(&self.service, Event::Ended { outcome, ticket });
     }
 
-    async fn placed(&mut self, receiver: Receiver<Placed>) -> Result<EndpointKey, Refused> {
+    async fn await_placement(
+        &mut self,
+        receiver: Receiver<Placement>,
+    ) -> Result<EndpointKey, RequestError> {
         let placed = receiver
             .await
-            .unwrap_or(Err(Refused::new(Code::RequestShed)));
-        self.live = placed.is_ok();
+            .unwrap_or(Err(RequestError::new(Code::RequestShed)));
+        self.occupied = placed.is_ok();
         placed
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        if self.live {
-            self.services.leave(&self.service, self.ticket);
+        if self.occupied {
+            self.pools.cancel(&self.service, self.ticket);
         }
     }
 }
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -1,4 +1,4 @@
-//! The status pages.
+//! The status and overview pages.
 
 use std::{
     collections::BTreeMap,
@@ -27,59 +27,59 @@
     node::Node, //
 };
 
-/// Time after which an instance that does not answer counts as silent.
+/// Time after which an instance that has not answered counts as silent.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Describes the instance and those that it knows.
+/// Describes this instance and the instances that it knows.
 pub fn page(node: &Node) -> Status {
     Status {
-        endpoints: node.known.directory.borrow().iter().count(),
-        instance: node.describe(),
+        endpoints: node.view.directory.borrow().iter().count(),
+        instance: node.own_instance(),
         instances: node
-            .known
+            .view
             .members
             .borrow()
             .iter()
-            .map(convert_member::described)
+            .map(convert_member::instance_to_wire)
             .collect(),
         log: node
             .replica
             .as_ref()
             .map(|replica| replica::members(&replica.borrow(), node.now())),
         ready: node.ready(),
-        refusals: node.metrics.refused(),
-        revision: node.known.configuration.borrow().revision(),
-        running: node.dispatch.total(),
+        refusals: node.metrics.refusal_counts(),
+        revision: node.view.configuration.borrow().revision(),
+        running: node.pools.running_total(),
         services: services(node),
         stopping: node.stop.begun(),
     }
 }
 
-/// Gathers the states of all instances that this one knows, in parallel.
+/// Collects the status of all known instances in parallel.
 ///
-/// Those that do not answer within [`ANSWER_TIMEOUT`] are named as silent.
+/// Instances that do not answer within [`ANSWER_TIMEOUT`] are listed as silent.
 pub async fn overview(node: &Node) -> Overview {
-    let known: Vec<_> = node
-        .known
+    let peers: Vec<_> = node
+        .view
         .members
         .borrow()
         .all()
         .filter(|member| member.standing != Standing::Left)
         .map(|member| (member.instance.clone(), member.standing))
         .collect();
-    let asked = known.iter().map(|(instance, _)| ask(instance));
-    let answers = join_all(asked).await;
-    let mut members: Vec<_> = known
+    let queries = peers.iter().map(|(instance, _)| query(instance));
+    let answers = join_all(queries).await;
+    let mut members: Vec<_> = peers
         .into_iter()
         .zip(answers)
         .map(|((instance, standing), status)| member(instance, standing, status))
         .collect();
-    let own = node.known.members.borrow().own().clone();
+    let own = node.view.members.borrow().own().clone();
     members.push(member(own, Standing::Alive, Some(page(node))));
     summarise(&node.settings.instance.name, members)
 }
 
-async fn ask(instance: &Instance) -> Option<Status> {
+async fn query(instance: &Instance) -> Option<Status> {
     let call = async {
         let client = wire::connect(instance.inner).await.ok()?;
         client.status(context::current()).await.ok()
@@ -95,12 +95,12 @@
         centre: instance.centre,
         lag: 0,
         name: instance.name,
-        standing: convert_member::standing(standing),
+        standing: convert_member::standing_to_wire(standing),
         status,
     }
 }
 
-fn summarise(asked: &str, mut members: Vec<MemberStatus>) -> Overview {
+fn summarise(own_name: &str, mut members: Vec<MemberStatus>) -> Overview {
     members.sort_by(|one, other| (&one.centre, &one.name).cmp(&(&other.centre, &other.name)));
     let statuses = || members.iter().filter_map(|member| member.status.as_ref());
     let revision = statuses().map(|status| status.revision).max();
@@ -111,11 +111,11 @@
         .max_by_key(|log| log.term)
         .and_then(|log| log.leader.clone());
     for member in &mut members {
-        let known = member.status.as_ref().map(|status| status.revision);
-        member.lag = known.map_or(0, |known| revision - known);
+        let applied = member.status.as_ref().map(|status| status.revision);
+        member.lag = applied.map_or(0, |applied| revision - applied);
     }
     Overview {
-        asked: asked.into(),
+        asked: own_name.into(),
         leader,
         revision,
         silent: members
@@ -128,12 +128,12 @@
 }
 
 fn services(node: &Node) -> Vec<ServiceStatus> {
-    let directory = node.known.directory.borrow();
+    let directory = node.view.directory.borrow();
     let now = node.now();
     let mut services = BTreeMap::new();
     let mut connections: BTreeMap<Box<str>, Vec<u32>> = BTreeMap::new();
     for (key, endpoint) in directory.iter() {
-        let service = service(&mut services, endpoint);
+        let service = service_entry(&mut services, endpoint);
         match endpoint.state {
             State::Draining => service.draining += 1,
             State::Ready if directory.takes(now, key) => service.ready += 1,
@@ -147,7 +147,7 @@
         }
     }
     for endpoint in directory.waiting() {
-        service(&mut services, endpoint).waiting += 1;
+        service_entry(&mut services, endpoint).waiting += 1;
     }
     for (name, counts) in connections {
         if let Some(service) = services.get_mut(&name) {
@@ -157,7 +157,7 @@
     services.into_values().collect()
 }
 
-fn service<'a>(
+fn service_entry<'a>(
     services: &'a mut BTreeMap<Box<str>, ServiceStatus>,
     endpoint: &Endpoint,
 ) -> &'a mut ServiceStatus {
@@ -175,7 +175,7 @@
         })
 }
 
-/// The highest count over the mean; 1 if all are 0.
+/// Returns the ratio of the highest count to the mean; 1 if all counts are 0.
 fn imbalance(counts: &[u32]) -> f64 {
     let sum: f64 = counts.iter().copied().map(f64::from).sum();
     let count: f64 = counts.iter().map(|_| 1.0).sum();
--- a/crates/daemon/src/stores.rs
+++ b/crates/daemon/src/store_client.rs
@@ -1,4 +1,4 @@
-//! Calls of the stores by instances that are none.
+//! RPC calls to the stores from instances that are not stores.
 
 use std::{
     net::SocketAddr,
@@ -23,22 +23,22 @@
 
 use crate::{
     node::Node,
-    serving, //
+    store_reads, //
 };
 
-/// Time after which a store that does not answer is given up.
+/// Time limit for a store to answer a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Time after which a connection that is not made is given up.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after which no further store is tried.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after which an edit is not sent to any further store.
+const FAILOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The stores' inner addresses in the order in which this instance prefers them.
-pub fn ranked(node: &Node) -> Vec<SocketAddr> {
+/// Returns the stores' RPC addresses in this instance's order of preference.
+pub fn ranked_addresses(node: &Node) -> Vec<SocketAddr> {
     let own = &node.settings.instance;
-    let members = node.known.members.borrow();
+    let members = node.view.members.borrow();
     let mut stores: Vec<_> = members
         .iter()
         .filter(|member| member.store)
@@ -58,7 +58,7 @@
     rank(&own.name, stores)
 }
 
-/// Connects to a store; none if no connection is made in time.
+/// Connects to a store; none if that fails or times out.
 pub async fn connect(address: SocketAddr) -> Option<Client> {
     match compio::time::timeout(CONNECT_TIMEOUT, wire::connect(address)).await {
         Ok(Ok(client)) => Some(client),
@@ -70,14 +70,14 @@
     }
 }
 
-/// Hands an edit to the stores, one after another, until one answers with what became of it.
+/// Sends an edit to the stores, one after another, until one returns a definite outcome.
 ///
-/// The edit's id lets a store that gets it a second time give the first answer.
+/// The edit's id lets a store that receives it again repeat its first answer.
 pub async fn edit(node: &Rc<Node>, edit: Edit) -> Outcome {
     let start = node.now();
     let mut last = refused(Code::NoLeader, "no store can be reached".into());
-    for address in ranked(node) {
-        if node.now() - start > TIMEOUT {
+    for address in ranked_addresses(node) {
+        if node.now() - start > FAILOVER_TIMEOUT {
             break;
         }
         let Some(client) = connect(address).await else {
@@ -101,12 +101,12 @@
     last
 }
 
-/// Reads the audit trail, from this instance or from a store that a quorum confirms.
+/// Reads the audit trail from this instance, if it is a store, or from one that a quorum confirms.
 pub async fn audit(node: &Node, query: AuditQuery) -> Option<Vec<AuditLine>> {
     if node.replica.is_some() {
-        return serving::audit(node, &query);
+        return store_reads::audit(node, &query);
     }
-    for address in ranked(node) {
+    for address in ranked_addresses(node) {
         let Some(client) = connect(address).await else {
             continue;
         };
@@ -118,12 +118,13 @@
     None
 }
 
-/// Reads a section's versions, from this instance or from a store that a quorum confirms.
+/// Reads a section's versions from this instance, if it is a store, or from one that a quorum
+/// confirms.
 pub async fn history(node: &Node, section: Box<str>) -> Option<Vec<PastVersion>> {
     if node.replica.is_some() {
-        return serving::history(node, &section);
+        return store_reads::history(node, &section);
     }
-    for address in ranked(node) {
+    for address in ranked_addresses(node) {
         let Some(client) = connect(address).await else {
             continue;
         };
--- a/crates/daemon/src/serving.rs
+++ b/crates/daemon/src/store_reads.rs
@@ -1,4 +1,4 @@
-//! What a store answers to followers and to those who read back.
+//! Answers of a store to followers and to readers of the audit trail and the history.
 
 use std::time::Duration;
 
@@ -13,51 +13,53 @@
 };
 
 use crate::{
-    links,
-    node::Node, //
+    node::Node,
+    raft_transport, //
 };
 
-/// Time after which a leader that does not answer is given up.
+/// Time limit for the leader to answer.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Waits for a document later than the follower's, for as long as a follower may wait.
+/// Answers a follower, after waiting up to [`distribution::WAIT`] for a newer document.
 pub async fn follow(node: &Node, follow: Follow) -> Option<Followed> {
     let replica = node.replica.as_ref()?;
     if follow.fresh {
         let current = catch_up(node).await.is_some();
-        let mut followed = node.spread.answer(replica, node.now(), follow);
+        let mut followed = node.document_sync.answer(replica, node.now(), follow);
         followed.confirmed &= current;
         return Some(followed);
     }
-    let listener = node.changed.listen();
-    let followed = node.spread.answer(replica, node.now(), follow);
+    let listener = node.replica_changed.listen();
+    let followed = node.document_sync.answer(replica, node.now(), follow);
     if followed.revision > follow.revision {
         return Some(followed);
     }
     let _notified = compio::time::timeout(distribution::WAIT, listener).await;
-    Some(node.spread.answer(replica, node.now(), follow))
+    Some(node.document_sync.answer(replica, node.now(), follow))
 }
 
-/// The latest accepted revision; none if this store does not lead, or can't tell.
+/// Returns the latest accepted revision; none if this store is not the leader or its log may be out
+/// of date.
 pub fn latest(node: &Node) -> Option<u64> {
     let replica = node.replica.as_ref()?.borrow();
     let raft = replica.raft();
-    // A leader knows all that was accepted once an entry of its own term is committed.
+    // Once an entry of its own term is committed, a leader's log has everything accepted before.
     let own = raft.log().term(raft.commit()) == Some(raft.term());
     let current = raft.leads() && own && replica.confirmed(node.now());
     current.then(|| replica.ledger().revision().0)
 }
 
-/// Waits until this store has all that was accepted before; none if that can't be told in time.
+/// Waits until this store has applied the latest accepted revision; none if the revision cannot be
+/// determined or is not applied in time.
 async fn catch_up(node: &Node) -> Option<()> {
     let replica = node.replica.as_ref()?;
     let target = match latest(node) {
         Some(revision) => revision,
-        None => ask_leader(node).await?,
+        None => query_leader(node).await?,
     };
     let until = node.now() + distribution::WAIT;
     loop {
-        let listener = node.changed.listen();
+        let listener = node.replica_changed.listen();
         if replica.borrow().ledger().revision().0 >= target {
             return Some(());
         }
@@ -66,13 +68,13 @@
     }
 }
 
-/// Asks the leader for the latest accepted revision.
-async fn ask_leader(node: &Node) -> Option<u64> {
+/// Queries the leader for the latest accepted revision.
+async fn query_leader(node: &Node) -> Option<u64> {
     let leader = {
         let replica = node.replica.as_ref()?.borrow();
         replica.raft().leader(node.now())?.address
     };
-    let client = links::connect(leader).await?;
+    let client = raft_transport::connect(leader).await?;
     let call = client.latest(context::current());
     compio::time::timeout(LEADER_TIMEOUT, call)
         .await
@@ -80,20 +82,20 @@
         .ok()?
 }
 
-/// The last lines of the audit trail, oldest first; none if this instance is no store.
+/// Returns the last lines of the audit trail, oldest first; none if this instance is not a store.
 pub fn audit(node: &Node, query: &AuditQuery) -> Option<Vec<AuditLine>> {
     let replica = node.replica.as_ref()?.borrow();
     Some(replica::trail(&replica, query))
 }
 
-/// The last versions of a section, oldest first; none if this instance is no store.
+/// Returns the last versions of a section, oldest first; none if this instance is not a store.
 pub fn history(node: &Node, section: &str) -> Option<Vec<PastVersion>> {
     let query = AuditQuery {
         count: u32::MAX,
         section: Some(section.into()),
     };
     let lines = audit(node, &query)?;
-    let made = |number: u64| {
+    let accepting_line = |number: u64| {
         lines.iter().find(|line| match line.outcome {
             Outcome::Accepted { version, .. } => version == number,
             Outcome::Refused { .. } => false,
@@ -101,7 +103,7 @@
     };
     let replica = node.replica.as_ref()?.borrow();
     let versions = replica.ledger().history(section).map(|stored| {
-        let line = made(stored.version.0);
+        let line = accepting_line(stored.version.0);
         PastVersion {
             author: line.map(|line| line.author.clone()),
             text: stored.text.clone(),
@@ -112,7 +114,7 @@
     Some(versions.collect())
 }
 
-/// Whether other instances may rely on what this store reads back.
+/// Whether a quorum confirms this store, so that other instances may rely on its answers.
 pub fn confirmed(node: &Node) -> bool {
     let replica = node.replica.as_ref();
     replica.is_some_and(|replica| replica.borrow().confirmed(node.now()))
--- a/crates/daemon/src/answer.rs
+++ b/crates/daemon/src/stored_response.rs
@@ -1,4 +1,4 @@
-//! Answers that are kept for resends of their requests.
+//! Responses that are stored for retries of their requests.
 
 use std::rc::Rc;
 
@@ -15,23 +15,23 @@
     Serialize, //
 };
 
-/// Longest answer that is kept, in bytes.
-const ANSWER_BYTES: usize = 64 * 1024;
+/// Maximum size of the body of a stored response, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Header of an answer that was kept from an earlier request with the same key.
+/// Header of a response that was stored for an earlier request with the same key.
 pub const REPLAYED_HEADER: HeaderName = HeaderName::from_static("idempotency-replayed");
 
-/// An answer as it is kept.
+/// A stored response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Answer {
+pub struct StoredResponse {
     body: Vec<u8>,
     headers: Vec<(Box<str>, Vec<u8>)>,
     status: u16,
 }
 
-impl Answer {
-    /// Creates an answer that begins with this status and these headers.
+impl StoredResponse {
+    /// Creates a response with a status, headers and an empty body.
     pub fn new(status: StatusCode, headers: &HeaderMap) -> Self {
         let headers = headers
             .iter()
@@ -44,26 +44,26 @@
         }
     }
 
-    /// Adds to the body; returns whether the answer is still short enough to be kept.
-    pub fn add(&mut self, data: &[u8]) -> bool {
-        let short = self.body.len() + data.len() <= ANSWER_BYTES;
-        if short {
+    /// Appends to the body; returns false if it would become too long to be stored.
+    pub fn append(&mut self, data: &[u8]) -> bool {
+        let fits = self.body.len() + data.len() <= MAX_BODY_BYTES;
+        if fits {
             self.body.extend_from_slice(data);
         }
-        short
+        fits
     }
 
-    /// The answer as it is kept.
+    /// Encodes the response for storage.
     pub fn encode(&self) -> Option<Rc<[u8]>> {
         postcard::to_stdvec(self).ok().map(Rc::from)
     }
 
-    /// Reads a kept answer.
-    pub fn response(bytes: &[u8]) -> Option<Response<Bytes>> {
-        let answer: Self = postcard::from_bytes(bytes).ok()?;
-        let mut response = Response::new(Bytes::from(answer.body));
-        *response.status_mut() = StatusCode::from_u16(answer.status).ok()?;
-        for (name, value) in answer.headers {
+    /// Decodes a stored response and marks it as replayed.
+    pub fn replay(bytes: &[u8]) -> Option<Response<Bytes>> {
+        let stored: Self = postcard::from_bytes(bytes).ok()?;
+        let mut response = Response::new(Bytes::from(stored.body));
+        *response.status_mut() = StatusCode::from_u16(stored.status).ok()?;
+        for (name, value) in stored.headers {
             let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
             let value = HeaderValue::from_bytes(&value).ok()?;
             response.headers_mut().append(name, value);
--- a/crates/daemon/src/tracked.rs
+++ b/crates/daemon/src/tracked_body.rs
@@ -1,4 +1,4 @@
-//! A response body that holds what its request occupies until it ends.
+//! Response bodies that hold the slot and the connection of their request until they end.
 
 use std::{
     net::SocketAddr,
@@ -27,37 +27,37 @@
 use crate::{
     connections::{
         Connections,
-        Sender, //
+        RequestSender, //
     },
-    recorder::Recorder,
+    response_recorder::ResponseRecorder,
     slot::Slot, //
 };
 
-/// Body of an answer: an endpoint's, or one that this entry holds whole.
-pub type AnswerBody = Either<Tracked, Full<Bytes>>;
+/// Body of a response: streamed from an endpoint, or buffered by this entry.
+pub type ResponseBody = Either<TrackedBody, Full<Bytes>>;
 
 /// An endpoint's response body with the slot and the connection of its request.
 ///
 /// The connection is kept for other requests only if the body has been read to its end. Otherwise
-/// it is closed with this, which cancels the request at the endpoint; a request with an
-/// idempotency key is read to its end instead, since its answer may be asked for again.
+/// dropping the body closes it, which cancels the request at the endpoint. The response to a
+/// request with an idempotency key is read to its end instead, since the client may retry.
 #[derive(Debug)]
-pub struct Tracked {
+pub struct TrackedBody {
     address: SocketAddr,
     body: Option<Incoming>,
     connections: Rc<Connections>,
-    recorder: Option<Recorder>,
-    sender: Option<Sender>,
+    recorder: Option<ResponseRecorder>,
+    sender: Option<RequestSender>,
     slot: Slot,
 }
 
-impl Tracked {
-    /// Ties slot and connection to the body.
+impl TrackedBody {
+    /// Creates a body that holds a slot and a connection.
     pub fn new(
         connections: Rc<Connections>,
         slot: Slot,
         address: SocketAddr,
-        sender: Sender,
+        sender: RequestSender,
         body: Incoming,
     ) -> Self {
         Self {
@@ -70,22 +70,22 @@
         }
     }
 
-    /// Adds who keeps the answer for resends of its request.
-    pub fn with_recorder(mut self, recorder: Recorder) -> Self {
+    /// Adds a recorder that stores the response for retries of its request.
+    pub fn with_recorder(mut self, recorder: ResponseRecorder) -> Self {
         self.recorder = Some(recorder);
         self
     }
 
-    /// Ends what has no body left to be read.
-    pub fn settled(mut self) -> Self {
+    /// Releases the slot and the connection at once if the body is empty.
+    pub fn finish_if_empty(mut self) -> Self {
         if self.is_end_stream() {
-            self.end(Outcome::Answered);
+            self.finish(Outcome::Answered);
         }
         self
     }
 
-    fn end(&mut self, outcome: Outcome) {
-        self.slot.end(outcome);
+    fn finish(&mut self, outcome: Outcome) {
+        self.slot.finish(outcome);
         self.body = None;
         if let Some(sender) = self.sender.take()
             && outcome == Outcome::Answered
@@ -93,12 +93,12 @@
             self.connections.keep(self.address, sender);
         }
         if let Some(recorder) = self.recorder.take() {
-            recorder.end(outcome);
+            recorder.finish(outcome);
         }
     }
 }
 
-impl Body for Tracked {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -115,14 +115,14 @@
             Poll::Pending => return Poll::Pending,
             Poll::Ready(Some(Ok(frame))) => {
                 if let (Some(recorder), Some(data)) = (self.recorder.as_mut(), frame.data_ref()) {
-                    recorder.add(data);
+                    recorder.append(data);
                 }
                 if last {
-                    self.end(Outcome::Answered);
+                    self.finish(Outcome::Answered);
                 }
             }
-            Poll::Ready(Some(Err(_))) => self.end(Outcome::Lost),
-            Poll::Ready(None) => self.end(Outcome::Answered),
+            Poll::Ready(Some(Err(_))) => self.finish(Outcome::Lost),
+            Poll::Ready(None) => self.finish(Outcome::Answered),
         }
         polled
     }
@@ -139,26 +139,26 @@
     }
 }
 
-impl Drop for Tracked {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
         let Some(body) = self.body.take() else {
             return;
         };
         match (self.recorder.take(), self.sender.take()) {
             (Some(recorder), Some(sender)) => {
-                let slot = self.slot.hand_over();
+                let slot = self.slot.transfer();
                 let rest = Self::new(self.connections.clone(), slot, self.address, sender, body);
                 let rest = rest.with_recorder(recorder);
                 compio::runtime::spawn(rest.drain()).detach();
             }
-            (Some(recorder), None) => recorder.end(Outcome::Lost),
+            (Some(recorder), None) => recorder.finish(Outcome::Lost),
             (None, _) => {}
         }
     }
 }
 
-impl Tracked {
-    /// Reads to the end what its caller no longer waits for.
+impl TrackedBody {
+    /// Reads the rest of a body whose client has disconnected.
     pub async fn drain(mut self) {
         while let Some(Ok(_)) = self.frame().await {}
     }
