--- a/crates/process/src/server.rs
+++ b/crates/process/src/server.rs
@@ -133,8 +133,8 @@
 /// Waits until a graceful shutdown has begun and [`DRAIN_DELAY`] has passed since.
 async fn wait_drain_delay(stop: &Stop) {
     stop.wait().await;
-    let since = stop.since().map_or(DRAIN_DELAY, |since| since.elapsed());
-    compio::time::sleep(DRAIN_DELAY.saturating_sub(since)).await;
+    let elapsed = stop.begun_at().map_or(DRAIN_DELAY, |begun| begun.elapsed());
+    compio::time::sleep(DRAIN_DELAY.saturating_sub(elapsed)).await;
 }
 
 async fn handle_accepted<H: Handler + Clone + 'static>(
--- a/crates/process/src/stop.rs
+++ b/crates/process/src/stop.rs
@@ -23,8 +23,8 @@
         self.event.notify(usize::MAX);
     }
 
-    /// Time at which the shutdown began.
-    pub const fn since(&self) -> Option<Instant> {
+    /// Time at which the shutdown began; none before.
+    pub const fn begun_at(&self) -> Option<Instant> {
         self.begun.get()
     }
 
