--- a/crates/daemon/src/claims.rs
+++ b/crates/daemon/src/claims.rs
@@ -126,8 +126,8 @@
             if !unused_known {
                 unused_known = self.query_unused().await;
             }
-            let wants = self.holder.borrow().wants(self.view.now());
-            if wants {
+            let import_due = self.holder.borrow().wants(self.view.now());
+            if import_due {
                 self.import_claims().await;
             }
             let settled = self.holder.borrow().settled(self.view.now());
