--- a/crates/settings/src/address.rs
+++ b/crates/settings/src/address.rs
@@ -1,4 +1,4 @@
-//! A service's address in the packets of a flow.
+//! Transport address of a service.
 
 use std::{
     fmt::{
@@ -19,16 +19,16 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Transport {
-    /// Transmission control protocol, RFC 9293.
+    /// Transmission Control Protocol, RFC 9293.
     Tcp,
-    /// User datagram protocol, RFC 768.
+    /// User Datagram Protocol, RFC 768.
     Udp,
 }
 
-/// Destination address, port and transport protocol that a service is reached at.
+/// Destination IP address, port and transport protocol of a service.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Address {
-    /// Destination address.
+    /// Destination IP address.
     pub ip: IpAddr,
     /// Destination port.
     pub port: u16,
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -11,7 +11,7 @@
     source::Source, //
 };
 
-/// The whole document: sections by name, each owned by a team.
+/// The operators' document: sections by name, each owned by a team.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Document {
     /// Sections by name.
@@ -19,40 +19,40 @@
 }
 
 impl Document {
-    /// Reads a whole document.
+    /// Parses the text of a whole document.
     ///
     /// # Errors
     ///
-    /// Any refusal of [`Error`], with its place in the text.
+    /// [`Error`] with its position if the text is not a valid document.
     pub fn parse(source: &Source) -> Result<Self, Error> {
         let raw: raw::Document = source.parse()?;
         let mut document = Self::default();
         for (name, section) in raw.section {
-            let place = section.span();
-            let section = Section::check(source, section.into_inner())?;
+            let span = section.span();
+            let section = Section::from_raw(source, section.into_inner())?;
             document.sections.insert(name, section);
             document
                 .unique()
-                .map_err(|advice| source.repeated(place, advice))?;
+                .map_err(|message| source.repeated(span, message))?;
         }
         Ok(document)
     }
 
-    /// All services, in the order of their sections' names.
+    /// The services of all sections, ordered by section name.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.sections
             .values()
             .flat_map(|section| section.services.iter())
     }
 
-    /// Checks what only the whole document can show: sections' names, and that services' names,
-    /// addresses and hosts are unique.
+    /// Checks that section names are bare TOML keys and that the names, addresses and hosts of
+    /// services are unique across sections.
     ///
     /// # Errors
     ///
-    /// A sentence that names what is wrong or given twice.
+    /// A message that names the invalid or duplicate value.
     pub fn unique(&self) -> Result<(), Box<str>> {
-        if let Some(name) = self.sections.keys().find(|name| !bare(name)) {
+        if let Some(name) = self.sections.keys().find(|name| !is_bare_key(name)) {
             return Err(format!(
                 "the section's name `{name}` holds more than letters, digits, `-` and `_`"
             )
@@ -66,8 +66,8 @@
             if names.insert(name, name).is_some() {
                 return Err(format!("service `{name}` is given twice").into());
             }
-            let taken = service.address.and_then(|key| addresses.insert(key, name));
-            if let Some((other, address)) = taken.zip(service.address) {
+            let previous = service.address.and_then(|key| addresses.insert(key, name));
+            if let Some((other, address)) = previous.zip(service.address) {
                 return Err(format!("`{name}` and `{other}` share the address {address}").into());
             }
             for host in &service.hosts {
@@ -80,8 +80,8 @@
     }
 }
 
-/// Whether a name can be a key of TOML without quotes.
-fn bare(name: &str) -> bool {
+/// Whether a name is a bare TOML key, one that needs no quotes.
+fn is_bare_key(name: &str) -> bool {
     !name.is_empty()
         && name
             .bytes()
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a settings file or a document.
+//! Errors in settings files, key files and documents.
 
 use std::io;
 
@@ -10,46 +10,46 @@
 };
 use thiserror::Error as ThisError;
 
-/// A refusal of a settings file or a document.
+/// An error in a settings file, a key file or a document.
 #[derive(Debug)]
 #[derive(Diagnostic, ThisError)]
 pub enum Error {
-    /// Two keys contradict each other, or one needs the other.
+    /// Two keys contradict each other, or one requires the other.
     #[diagnostic(code("1004"))]
-    #[error("{advice}")]
+    #[error("{message}")]
     Contradiction {
-        /// What contradicts what.
-        advice: Box<str>,
-        /// Where in the text.
+        /// Describes the contradiction.
+        message: Box<str>,
+        /// Position in the text.
         #[label("here")]
-        place: SourceSpan,
-        /// The text.
+        span: SourceSpan,
+        /// The source text.
         #[source_code]
         text: NamedSource<String>,
     },
     /// A name or address is given twice.
     #[diagnostic(code("1005"))]
-    #[error("{advice}")]
+    #[error("{message}")]
     Repeated {
-        /// What is given twice.
-        advice: Box<str>,
-        /// Where in the text.
+        /// Describes the repeated name or address.
+        message: Box<str>,
+        /// Position in the text.
         #[label("given again here")]
-        place: SourceSpan,
-        /// The text.
+        span: SourceSpan,
+        /// The source text.
         #[source_code]
         text: NamedSource<String>,
     },
-    /// The text is not valid TOML, or holds an unknown or mistyped key.
+    /// The text is not valid TOML, or has an unknown key or a value of the wrong type.
     #[diagnostic(code("1002"))]
-    #[error("{advice}")]
+    #[error("{message}")]
     Syntax {
-        /// What the parser found.
-        advice: Box<str>,
-        /// Where in the text.
+        /// The parser's message.
+        message: Box<str>,
+        /// Position in the text.
         #[label("here")]
-        place: SourceSpan,
-        /// The text.
+        span: SourceSpan,
+        /// The source text.
         #[source_code]
         text: NamedSource<String>,
     },
@@ -57,28 +57,28 @@
     #[diagnostic(code("1001"))]
     #[error("cannot read {name}: {cause}")]
     Unreadable {
-        /// The file's name.
+        /// Path of the file.
         name: Box<str>,
-        /// What the system reported.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// A value is outside its range or form.
+    /// A value is out of range or malformed.
     #[diagnostic(code("1003"))]
-    #[error("{advice}")]
+    #[error("{message}")]
     Value {
-        /// What is wrong with it.
-        advice: Box<str>,
-        /// Where in the text.
+        /// Describes the invalid value.
+        message: Box<str>,
+        /// Position in the text.
         #[label("here")]
-        place: SourceSpan,
-        /// The text.
+        span: SourceSpan,
+        /// The source text.
         #[source_code]
         text: NamedSource<String>,
     },
 }
 
 impl Error {
-    /// The numbered result code.
+    /// The result code of the error.
     pub const fn result_code(&self) -> Code {
         match self {
             Self::Contradiction { .. } => Code::KeysContradict,
--- a/crates/settings/src/instance.rs
+++ b/crates/settings/src/instance.rs
@@ -1,21 +1,21 @@
-//! Who this instance is.
+//! Identity and roles of an instance.
 
 use crate::role::Role;
 
-/// The instance's identity and roles.
+/// Identity and roles of an instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Instance {
-    /// Name of the data centre that the instance stands in.
+    /// Name of the instance's data centre.
     pub centre: Box<str>,
     /// Name of the instance, unique in the deployment.
     pub name: Box<str>,
-    /// What the instance does; never empty, no role twice.
+    /// Roles, at least one and without duplicates.
     pub roles: Box<[Role]>,
 }
 
 impl Instance {
     /// Whether the instance has the role.
-    pub fn has(&self, role: Role) -> bool {
+    pub fn has_role(&self, role: Role) -> bool {
         self.roles.contains(&role)
     }
 }
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -1,4 +1,4 @@
-//! The file of operators' keys.
+//! The key file, which lists the access keys of operators.
 
 use std::path::Path;
 
@@ -8,10 +8,10 @@
     source::Source, //
 };
 
-/// Length of a key's digest in bytes.
+/// Length of a SHA-256 digest, in bytes.
 pub const DIGEST_BYTES: usize = 32;
 
-/// Whose key it is.
+/// The owner of a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Holder {
     /// An operator who may edit every section.
@@ -21,7 +21,7 @@
 }
 
 impl Holder {
-    /// The holder's name, as the audit trail shows it.
+    /// The owner's name, as shown in the audit trail.
     pub fn name(&self) -> &str {
         match self {
             Self::Admin(name) | Self::Team(name) => name,
@@ -29,45 +29,45 @@
     }
 }
 
-/// One operator's key.
+/// An access key of an operator or a team.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Key {
-    /// SHA-256 of the key's text.
+    /// SHA-256 digest of the key's text.
     pub digest: [u8; DIGEST_BYTES],
-    /// Whose key it is.
+    /// The owner of the key.
     pub holder: Holder,
 }
 
-/// The keys that an instance knows.
+/// The access keys that an instance accepts.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Keys {
-    /// The keys, in the order of the file.
+    /// Keys in file order.
     pub keys: Box<[Key]>,
 }
 
 impl Keys {
-    /// Reads and checks a file of keys.
+    /// Reads and validates a key file.
     ///
     /// # Errors
     ///
-    /// Any refusal of [`Error`].
+    /// [`Error`] if the file cannot be read or is not a valid key file.
     pub fn read(path: &Path) -> Result<Self, Error> {
         Self::parse(&Source::read(path)?)
     }
 
-    /// Checks the text of a file of keys.
+    /// Parses and validates the text of a key file.
     ///
     /// # Errors
     ///
-    /// Any refusal of [`Error`], with its place in the text.
+    /// [`Error`] with its position if the text is not a valid key file.
     pub fn parse(source: &Source) -> Result<Self, Error> {
         let raw: raw::Keys = source.parse()?;
         let mut keys = Vec::<Key>::with_capacity(raw.key.len());
         for key in &raw.key {
-            let place = key.get_ref().sha256.span();
-            let key = check(source, key.get_ref())?;
+            let span = key.get_ref().sha256.span();
+            let key = key_from_raw(source, key.get_ref())?;
             if keys.iter().any(|other| other.digest == key.digest) {
-                return Err(source.repeated(place, "the digest is given twice"));
+                return Err(source.repeated(span, "the digest is given twice"));
             }
             keys.push(key);
         }
@@ -75,24 +75,24 @@
     }
 }
 
-fn check(source: &Source, raw: &raw::Key) -> Result<Key, Error> {
-    let place = raw.sha256.span();
+fn key_from_raw(source: &Source, raw: &raw::Key) -> Result<Key, Error> {
+    let span = raw.sha256.span();
     let holder = match (&raw.admin, &raw.team) {
         (Some(name), None) if !name.is_empty() => Holder::Admin(name.clone()),
         (None, Some(name)) if !name.is_empty() => Holder::Team(name.clone()),
-        (Some(_), None) => return Err(source.invalid(place, "`admin` is empty")),
-        (None, Some(_)) => return Err(source.invalid(place, "`team` is empty")),
+        (Some(_), None) => return Err(source.invalid(span, "`admin` is empty")),
+        (None, Some(_)) => return Err(source.invalid(span, "`team` is empty")),
         (Some(_), Some(_)) | (None, None) => {
-            return Err(source.contradiction(place, "a key needs either `admin` or `team`"));
+            return Err(source.contradiction(span, "a key needs either `admin` or `team`"));
         }
     };
-    match digest(raw.sha256.get_ref()) {
+    match parse_digest(raw.sha256.get_ref()) {
         Some(digest) => Ok(Key { digest, holder }),
-        None => Err(source.invalid(place, "`sha256` is not 64 hexadecimal digits")),
+        None => Err(source.invalid(span, "`sha256` is not 64 hexadecimal digits")),
     }
 }
 
-fn digest(text: &str) -> Option<[u8; DIGEST_BYTES]> {
+fn parse_digest(text: &str) -> Option<[u8; DIGEST_BYTES]> {
     let mut digest = [0; DIGEST_BYTES];
     if text.len() != 2 * DIGEST_BYTES || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The TOML formats: an instance's settings and the operators' document.
+//! TOML formats of instance settings, operators' access keys and the operators' document.
 //!
-//! Text is read into generated types ([`raw`]), checked, and turned into the types that the other
-//! packages use. Every refusal names the file and the place in it.
+//! A text is deserialized into the [`raw`] types, validated and converted into the types that other
+//! packages use. Each error names the file and the position in it.
 
 mod address;
 mod change;
@@ -30,8 +30,8 @@
     },
     change::{
         Change,
-        DRAIN_MS,
-        SLOW_START_MS, //
+        DEFAULT_DRAIN_MS,
+        DEFAULT_SLOW_START_MS, //
     },
     document::Document,
     error::Error,
@@ -43,23 +43,23 @@
         Keys, //
     },
     limits::{
-        BODY_BYTES,
-        CONNECTIONS,
-        Limits,
-        QUEUE,
-        QUEUE_MS,
-        REQUESTS, //
+        DEFAULT_BODY_BYTES,
+        DEFAULT_CONNECTIONS,
+        DEFAULT_QUEUE,
+        DEFAULT_QUEUE_MS,
+        DEFAULT_REQUESTS,
+        Limits, //
     },
     mode::Mode,
     pattern::Pattern,
     requests::{
-        DEADLINE_MS,
+        DEFAULT_DEADLINE_MS,
         KEEP_MS,
         Requests, //
     },
     retry::{
-        ATTEMPTS,
-        PERCENT,
+        DEFAULT_ATTEMPTS,
+        DEFAULT_PERCENT,
         Retry, //
     },
     role::Role,
@@ -74,7 +74,7 @@
     source::Source,
     tls::Tls,
     weight::{
-        WEIGHT,
-        Weight, //
+        DEFAULT_WEIGHT,
+        PatternWeight, //
     },
 };
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of a service.
+//! Concurrency, queue and size limits of a service.
 
 use crate::{
     error::Error,
@@ -6,62 +6,72 @@
     source::Source, //
 };
 
-/// Largest body of a request that is taken when the document sets none, in bytes.
-pub const BODY_BYTES: u64 = 16 * 1024 * 1024;
+/// Default of [`Limits::body_bytes`], in bytes.
+pub const DEFAULT_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Connections or flows that an endpoint holds when the document sets none.
-pub const CONNECTIONS: u32 = 4_000;
+/// Default of [`Limits::connections`].
+pub const DEFAULT_CONNECTIONS: u32 = 4_000;
 
-/// Longest queue of requests when the document sets none.
-pub const QUEUE: u32 = 64;
+/// Default of [`Limits::queue`].
+pub const DEFAULT_QUEUE: u32 = 64;
 
-/// Longest time in the queue when the document sets none, in milliseconds.
-pub const QUEUE_MS: u64 = 1_000;
+/// Default of [`Limits::queue_ms`], in milliseconds.
+pub const DEFAULT_QUEUE_MS: u64 = 1_000;
 
-/// Requests that a service runs at once at one entry when the document sets none.
-pub const REQUESTS: u32 = 1_024;
+/// Default of [`Limits::requests`].
+pub const DEFAULT_REQUESTS: u32 = 1_024;
 
-/// How much of a service is taken at once.
+/// Concurrency, queue and size limits of a service (table `limits`).
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Connections or flows at one endpoint.
+    /// Maximum connections or flows per endpoint.
     pub connections: u32,
-    /// Requests that wait at one entry.
+    /// Maximum queued requests per entry.
     pub queue: u32,
-    /// Longest wait of a request, in milliseconds.
+    /// Maximum time that a request stays queued, in milliseconds.
     pub queue_ms: u64,
-    /// Requests of the service that run at once at one entry.
+    /// Maximum concurrent requests of the service per entry.
     pub requests: u32,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            body_bytes: BODY_BYTES,
-            connections: CONNECTIONS,
-            queue: QUEUE,
-            queue_ms: QUEUE_MS,
-            requests: REQUESTS,
+            body_bytes: DEFAULT_BODY_BYTES,
+            connections: DEFAULT_CONNECTIONS,
+            queue: DEFAULT_QUEUE,
+            queue_ms: DEFAULT_QUEUE_MS,
+            requests: DEFAULT_REQUESTS,
         }
     }
 }
 
 impl Limits {
-    /// Checks the raw table.
-    pub(crate) fn check(source: &Source, raw: &raw::Limits) -> Result<Self, Error> {
+    /// Validates the deserialized table.
+    pub(crate) fn from_raw(source: &Source, raw: &raw::Limits) -> Result<Self, Error> {
         let limits = Self {
-            body_bytes: source.within(&raw.body_bytes, "body_bytes", 1..=1 << 32, BODY_BYTES)?,
-            connections: source.within(
+            body_bytes: source.in_range(
+                &raw.body_bytes,
+                "body_bytes",
+                1..=1 << 32,
+                DEFAULT_BODY_BYTES,
+            )?,
+            connections: source.in_range(
                 &raw.connections,
                 "connections",
                 1..=1_000_000,
-                CONNECTIONS,
+                DEFAULT_CONNECTIONS,
+            )?,
+            queue: source.in_range(&raw.queue, "queue", 0..=100_000, DEFAULT_QUEUE)?,
+            queue_ms: source.in_range(&raw.queue_ms, "queue_ms", 1..=60_000, DEFAULT_QUEUE_MS)?,
+            requests: source.in_range(
+                &raw.requests,
+                "requests",
+                1..=1_000_000,
+                DEFAULT_REQUESTS,
             )?,
-            queue: source.within(&raw.queue, "queue", 0..=100_000, QUEUE)?,
-            queue_ms: source.within(&raw.queue_ms, "queue_ms", 1..=60_000, QUEUE_MS)?,
-            requests: source.within(&raw.requests, "requests", 1..=1_000_000, REQUESTS)?,
         };
         match &raw.queue_ms {
             Some(queue_ms) if limits.queue == 0 => {
--- a/crates/settings/src/mode.rs
+++ b/crates/settings/src/mode.rs
@@ -1,4 +1,4 @@
-//! How a service is balanced.
+//! Balancing modes of a service.
 
 use serde::{
     Deserialize,
@@ -10,8 +10,8 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
-    /// Whole IP packets, forwarded to the endpoint of their flow.
+    /// Layer 4: IP packets are forwarded to the endpoint of their flow.
     Flows,
-    /// HTTP/1.1 requests, each placed by itself.
+    /// HTTP/1.1 requests, each placed on an endpoint independently.
     Requests,
 }
--- a/crates/settings/src/pattern.rs
+++ b/crates/settings/src/pattern.rs
@@ -1,21 +1,21 @@
-//! Patterns over endpoints' names.
+//! Patterns that match endpoint names.
 
-/// A name, or the beginning of names followed by `*`.
+/// An endpoint name, or a name prefix followed by `*`.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Pattern(Box<str>);
 
 impl Pattern {
-    /// Creates a pattern from its text.
+    /// Creates a pattern without validating its text.
     pub fn new(text: &str) -> Self {
         Self(text.into())
     }
 
-    /// Creates a pattern from a text that an operator wrote.
+    /// Validates the text of a pattern.
     ///
     /// # Errors
     ///
-    /// A sentence that says what is wrong with the text.
-    pub fn check(text: &str) -> Result<Self, Box<str>> {
+    /// A message if the text is empty or has a `*` before its end.
+    pub fn parse(text: &str) -> Result<Self, Box<str>> {
         let name = text.strip_suffix('*').unwrap_or(text);
         if text.is_empty() {
             return Err("a pattern is empty".into());
@@ -26,25 +26,25 @@
         Ok(Self::new(text))
     }
 
-    /// Whether every name that fits `other` fits this pattern too.
+    /// Whether this pattern matches every name that `other` matches.
     pub fn covers(&self, other: &Self) -> bool {
         match (self.0.strip_suffix('*'), other.0.strip_suffix('*')) {
-            (Some(start), Some(name)) => name.starts_with(start),
-            (Some(_), None) => self.fits(&other.0),
+            (Some(prefix), Some(other)) => other.starts_with(prefix),
+            (Some(_), None) => self.matches(&other.0),
             (None, _) => self == other,
         }
     }
 
-    /// Whether `name` fits the pattern.
-    pub fn fits(&self, name: &str) -> bool {
+    /// Whether the pattern matches `name`.
+    pub fn matches(&self, name: &str) -> bool {
         match self.0.strip_suffix('*') {
-            Some(start) => name.starts_with(start),
+            Some(prefix) => name.starts_with(prefix),
             None => *self.0 == *name,
         }
     }
 
-    /// How exact it is: a name before a beginning, a longer beginning before a shorter one.
-    pub(crate) fn rank(&self) -> (bool, usize) {
+    /// Sort key by specificity: a full name ranks above a prefix, a longer text above a shorter one.
+    pub(crate) fn specificity(&self) -> (bool, usize) {
         (!self.0.ends_with('*'), self.0.len())
     }
 }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,4 +1,4 @@
-//! The generated types at the border: what the TOML texts hold before they are checked.
+//! Types that the TOML texts deserialize into before validation.
 
 use std::{
     collections::BTreeMap,
@@ -18,118 +18,118 @@
     role::Role, //
 };
 
-/// An instance's settings.
+/// Settings of an instance.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who the instance is.
+    /// Identity and roles of the instance.
     pub instance: Spanned<Instance>,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: Spanned<Listen>,
-    /// What it logs.
+    /// Log levels.
     #[serde(default)]
     pub log: Log,
-    /// Who may edit the document.
+    /// Operators who may edit the document.
     pub operators: Option<Operators>,
-    /// Whom it asks first.
+    /// Inner addresses of the instances to contact first.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Where a store keeps its files.
+    /// Data of a store.
     pub store: Option<Spanned<Store>>,
-    /// TLS of the admin face.
+    /// TLS of the admin listener.
     pub tls: Option<Tls>,
 }
 
-/// Who the instance is.
+/// Identity and roles of the instance.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Instance {
-    /// Name of its data centre.
+    /// Name of the instance's data centre.
     pub centre: Spanned<Box<str>>,
-    /// Its own name.
+    /// Name of the instance.
     pub name: Spanned<Box<str>>,
-    /// Its roles.
+    /// Roles of the instance.
     pub roles: Spanned<Vec<Role>>,
 }
 
-/// Where the instance listens; port 0 takes a free port.
+/// Listen addresses; port 0 selects a free port.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// Operators, announcements, health and metrics, over HTTP.
+    /// HTTP for operators, announcements, health checks and metrics.
     pub admin: SocketAddr,
-    /// Packets from the fabric, GRE in UDP.
+    /// GRE-in-UDP packets from the fabric.
     pub fabric: Option<SocketAddr>,
-    /// Other instances, TCP and UDP.
+    /// TCP and UDP from other instances.
     pub inner: SocketAddr,
-    /// Callers' requests, over HTTP/1.1.
+    /// HTTP/1.1 requests of clients.
     pub requests: Option<SocketAddr>,
 }
 
-/// What the instance logs.
+/// Log levels.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Log {
-    /// Level of all targets that have none of their own.
+    /// Level of targets that are not listed in `targets`.
     pub level: Option<Spanned<Box<str>>>,
     /// Level by target.
     #[serde(default)]
     pub targets: BTreeMap<Box<str>, Spanned<Box<str>>>,
 }
 
-/// Where a store keeps its files.
+/// Data of a store.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// The data folder.
+    /// Data folder.
     pub data: PathBuf,
 }
 
-/// Who may edit the document.
+/// Operators who may edit the document.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operators {
-    /// The file of keys.
+    /// Path of the key file.
     pub keys: PathBuf,
 }
 
-/// TLS of the admin face.
+/// TLS of the admin listener.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tls {
-    /// The file of the certificate chain.
+    /// Path of the certificate chain, in PEM.
     pub certificate: PathBuf,
-    /// The file of the private key.
+    /// Path of the private key, in PEM.
     pub key: PathBuf,
 }
 
-/// The file of operators' keys.
+/// A key file.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Keys {
-    /// The keys.
+    /// Access keys.
     #[serde(default)]
     pub key: Vec<Spanned<Key>>,
 }
 
-/// An operator's key.
+/// An access key of an operator or a team.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
     /// Name of an operator who may edit every section.
     pub admin: Option<Box<str>>,
-    /// SHA-256 of the key's text, as hexadecimal digits.
+    /// SHA-256 digest of the key's text, in hexadecimal digits.
     pub sha256: Spanned<Box<str>>,
-    /// The team that may edit its own sections.
+    /// Name of a team, which may edit its own sections.
     pub team: Option<Box<str>>,
 }
 
@@ -148,10 +148,10 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
-    /// Services in it.
+    /// Services of the section.
     #[serde(default)]
     pub service: Vec<Spanned<Service>>,
-    /// The team that owns it.
+    /// The team that owns the section.
     pub team: Spanned<Box<str>>,
 }
 
@@ -160,81 +160,81 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Destination address of its flows.
+    /// Destination IP address of flows.
     pub address: Option<IpAddr>,
-    /// How a planned change unfolds.
+    /// Draining and slow start of endpoints.
     pub change: Option<Change>,
-    /// Endpoints' names or patterns that may serve it.
+    /// Patterns of the endpoints that may serve the service.
     pub endpoints: Spanned<Vec<Box<str>>>,
-    /// Host names of its requests.
+    /// Host names of requests.
     #[serde(default)]
     pub hosts: Vec<Box<str>>,
-    /// How much of it is taken at once.
+    /// Concurrency, queue and size limits.
     pub limits: Option<Spanned<Limits>>,
-    /// By flow or by request.
+    /// Balancing mode.
     pub mode: Spanned<Mode>,
-    /// Its name, unique in the document.
+    /// Name, unique in the document.
     pub name: Spanned<Box<str>>,
-    /// Destination port of its flows.
+    /// Destination port of flows.
     pub port: Option<u16>,
-    /// Times of its requests.
+    /// Deadline and answer retention of requests.
     pub requests: Option<Spanned<Requests>>,
-    /// Retries of its requests.
+    /// Retry policy of requests.
     pub retry: Option<Spanned<Retry>>,
-    /// Transport protocol of its flows.
+    /// Transport protocol of flows.
     pub transport: Option<Transport>,
-    /// Weights by endpoints' names or patterns.
+    /// Weights by endpoint pattern.
     #[serde(default)]
     pub weights: BTreeMap<Box<str>, Spanned<u64>>,
 }
 
-/// How a planned change unfolds.
+/// Draining and slow start of endpoints.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Time that a draining endpoint has, in milliseconds.
+    /// Time in which a draining endpoint may finish its open work, in milliseconds.
     pub drain_ms: Option<Spanned<u64>>,
-    /// Time over which a new endpoint's share grows, in milliseconds.
+    /// Time over which the share of a new endpoint rises to its full weight, in milliseconds.
     #[serde(rename = "slow_start_ms")]
     pub slow_start: Option<Spanned<u64>>,
 }
 
-/// How much of a service is taken at once.
+/// Concurrency, queue and size limits of a service.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: Option<Spanned<u64>>,
-    /// Connections or flows at one endpoint.
+    /// Maximum connections or flows per endpoint.
     pub connections: Option<Spanned<u64>>,
-    /// Requests that wait.
+    /// Maximum queued requests per entry.
     pub queue: Option<Spanned<u64>>,
-    /// Longest wait of a request, in milliseconds.
+    /// Maximum time that a request stays queued, in milliseconds.
     pub queue_ms: Option<Spanned<u64>>,
-    /// Requests of the service that run at once.
+    /// Maximum concurrent requests of the service per entry.
     pub requests: Option<Spanned<u64>>,
 }
 
-/// Times of a service's requests.
+/// Deadline and answer retention of a service's requests.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Requests {
-    /// Deadline of a request that brings none, in milliseconds.
+    /// Deadline of a request that does not carry its own, in milliseconds.
     pub deadline_ms: Option<Spanned<u64>>,
-    /// Time for which an idempotency key's answer is kept, in milliseconds.
+    /// Retention of the answer stored under an idempotency key, in milliseconds.
     pub keep_ms: Option<Spanned<u64>>,
 }
 
-/// Retries of a service's requests.
+/// Retry policy of a service's requests.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retry {
-    /// Attempts of one request at most.
+    /// Maximum attempts per request, including the first.
     pub attempts: Option<Spanned<u64>>,
-    /// Retries in a hundred requests.
+    /// Retry budget, in percent of requests.
     pub percent: Option<Spanned<u64>>,
 }
--- a/crates/settings/src/retry.rs
+++ b/crates/settings/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries of a service's requests.
+//! Retry policy of a service's requests.
 
 use crate::{
     error::Error,
@@ -6,36 +6,36 @@
     source::Source, //
 };
 
-/// Attempts of one request, the first among them, when the document sets none.
-pub const ATTEMPTS: u32 = 3;
+/// Default of [`Retry::attempts`].
+pub const DEFAULT_ATTEMPTS: u32 = 3;
 
-/// Retries in a hundred requests when the document sets none.
-pub const PERCENT: u32 = 20;
+/// Default of [`Retry::percent`].
+pub const DEFAULT_PERCENT: u32 = 20;
 
-/// How often a request that did not run is tried again.
+/// How often a request that did not run is retried (table `retry`).
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Retry {
-    /// Attempts of one request at most, the first among them.
+    /// Maximum attempts per request, including the first.
     pub attempts: u32,
-    /// Budget: retries in a hundred requests.
+    /// Retry budget, in percent of requests.
     pub percent: u32,
 }
 
 impl Default for Retry {
     fn default() -> Self {
         Self {
-            attempts: ATTEMPTS,
-            percent: PERCENT,
+            attempts: DEFAULT_ATTEMPTS,
+            percent: DEFAULT_PERCENT,
         }
     }
 }
 
 impl Retry {
-    /// Checks the raw table.
-    pub(crate) fn check(source: &Source, raw: &raw::Retry) -> Result<Self, Error> {
+    /// Validates the deserialized table.
+    pub(crate) fn from_raw(source: &Source, raw: &raw::Retry) -> Result<Self, Error> {
         let retry = Self {
-            attempts: source.within(&raw.attempts, "attempts", 1..=10, ATTEMPTS)?,
-            percent: source.within(&raw.percent, "percent", 0..=100, PERCENT)?,
+            attempts: source.in_range(&raw.attempts, "attempts", 1..=10, DEFAULT_ATTEMPTS)?,
+            percent: source.in_range(&raw.percent, "percent", 0..=100, DEFAULT_PERCENT)?,
         };
         match &raw.attempts {
             Some(attempts) if retry.attempts > 1 && retry.percent == 0 => Err(source
--- a/crates/settings/src/role.rs
+++ b/crates/settings/src/role.rs
@@ -1,11 +1,11 @@
-//! What an instance does.
+//! Roles of an instance.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// A role that an instance takes by its settings.
+/// A role that the settings assign to an instance.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -1,4 +1,4 @@
-//! One section of the operators' document.
+//! A section of the document.
 
 use crate::{
     error::Error,
@@ -7,38 +7,38 @@
     source::Source, //
 };
 
-/// A section: the part of the document that one team owns.
+/// A part of the document that one team owns.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Section {
-    /// Its services, in the order of the text.
+    /// Services, in the order of the text.
     pub services: Box<[Service]>,
-    /// The team that owns it.
+    /// The team that owns the section.
     pub team: Box<str>,
 }
 
 impl Section {
-    /// Reads a section from its own text, which holds `team` and `[[service]]` tables.
+    /// Parses the text of one section: the key `team` and `[[service]]` tables.
     ///
     /// # Errors
     ///
-    /// Any refusal of [`Error`], with its place in the text.
+    /// [`Error`] with its position if the text is not a valid section.
     pub fn parse(source: &Source) -> Result<Self, Error> {
-        Self::check(source, source.parse()?)
+        Self::from_raw(source, source.parse()?)
     }
 
-    /// Checks a raw section of `source`.
-    pub(crate) fn check(source: &Source, raw: raw::Section) -> Result<Self, Error> {
+    /// Validates a section that was deserialized from `source`.
+    pub(crate) fn from_raw(source: &Source, raw: raw::Section) -> Result<Self, Error> {
         if raw.team.get_ref().is_empty() {
             return Err(source.invalid(raw.team.span(), "`team` is empty"));
         }
         let mut services = Vec::<Service>::with_capacity(raw.service.len());
         for service in raw.service {
-            let place = service.get_ref().name.span();
-            let at = service.span().start;
-            let service = Service::check(source, service.into_inner(), at)?;
+            let span = service.get_ref().name.span();
+            let offset = service.span().start;
+            let service = Service::from_raw(source, service.into_inner(), offset)?;
             if services.iter().any(|other| other.name == service.name) {
-                let advice = format!("service `{}` is given twice", service.name);
-                return Err(source.repeated(place, advice));
+                let message = format!("service `{}` is given twice", service.name);
+                return Err(source.repeated(span, message));
             }
             services.push(service);
         }
--- a/crates/settings/src/service.rs
+++ b/crates/settings/src/service.rs
@@ -1,4 +1,4 @@
-//! One service of the operators' document.
+//! A service of the document.
 
 use crate::{
     address::Address,
@@ -12,87 +12,93 @@
     retry::Retry,
     source::Source,
     weight::{
-        WEIGHT,
-        Weight, //
+        DEFAULT_WEIGHT,
+        PatternWeight, //
     },
 };
 
-/// A service: where it is reached, which endpoints may serve it, and within which limits.
+/// Address or hosts, endpoints and limits of a service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Service {
-    /// Destination of its flows; set for mode `flows`.
+    /// Destination address of flows; set for mode `flows`.
     pub address: Option<Address>,
-    /// How a planned change of its endpoints unfolds.
+    /// Draining and slow start of endpoints.
     pub change: Change,
-    /// Which endpoints may serve it.
+    /// Patterns of the endpoints that may serve the service.
     pub endpoints: Box<[Pattern]>,
-    /// Host names of its requests; not empty for mode `requests`.
+    /// Host names of requests; not empty for mode `requests`.
     pub hosts: Box<[Box<str>]>,
-    /// How much of it is taken at once.
+    /// Concurrency, queue and size limits.
     pub limits: Limits,
-    /// By flow or by request.
+    /// Balancing mode.
     pub mode: Mode,
-    /// Its name, unique in the document.
+    /// Name, unique in the document.
     pub name: Box<str>,
-    /// Times of its requests.
+    /// Deadline and answer retention of requests.
     pub requests: Requests,
-    /// Retries of its requests.
+    /// Retry policy of requests.
     pub retry: Retry,
-    /// Weights of its endpoints, the most exact pattern first.
-    pub weights: Box<[Weight]>,
+    /// Weights of endpoints, the most specific pattern first.
+    pub weights: Box<[PatternWeight]>,
 }
 
 impl Service {
-    /// Checks the raw service, which stands at `at` bytes from the start of `source`.
-    pub(crate) fn check(source: &Source, raw: raw::Service, at: usize) -> Result<Self, Error> {
+    /// Validates a service that was deserialized at byte `offset` of `source`.
+    pub(crate) fn from_raw(
+        source: &Source,
+        raw: raw::Service,
+        offset: usize,
+    ) -> Result<Self, Error> {
         if raw.name.get_ref().is_empty() {
             return Err(source.invalid(raw.name.span(), "`name` is empty"));
         }
-        let address = address(source, &raw, at)?;
-        mode(source, &raw, address)?;
-        let endpoints = endpoints(source, &raw)?;
+        let address = address_from_raw(source, &raw, offset)?;
+        check_mode(source, &raw, address)?;
+        let endpoints = endpoints_from_raw(source, &raw)?;
         let limits = raw.limits.as_ref().map(toml::Spanned::get_ref);
         let requests = raw.requests.as_ref().map(toml::Spanned::get_ref);
         let retry = raw.retry.as_ref().map(toml::Spanned::get_ref);
         let service = Self {
             address,
-            change: optional(source, raw.change.as_ref(), Change::check)?,
+            change: raw_or_default(source, raw.change.as_ref(), Change::from_raw)?,
             hosts: raw.hosts.clone().into(),
-            limits: optional(source, limits, Limits::check)?,
+            limits: raw_or_default(source, limits, Limits::from_raw)?,
             mode: *raw.mode.get_ref(),
             name: raw.name.get_ref().clone(),
-            requests: optional(source, requests, Requests::check)?,
-            retry: optional(source, retry, Retry::check)?,
-            weights: Weight::check(source, &raw, &endpoints)?,
+            requests: raw_or_default(source, requests, Requests::from_raw)?,
+            retry: raw_or_default(source, retry, Retry::from_raw)?,
+            weights: PatternWeight::list_from_raw(source, &raw, &endpoints)?,
             endpoints,
         };
-        service.times(source, &raw)?;
+        service.check_queue_time(source, &raw)?;
         Ok(service)
     }
 
-    /// Whether the endpoint of that name may serve the service.
+    /// Whether the endpoint named `endpoint` may serve the service.
     pub fn allows(&self, endpoint: &str) -> bool {
-        self.endpoints.iter().any(|pattern| pattern.fits(endpoint))
+        self.endpoints
+            .iter()
+            .any(|pattern| pattern.matches(endpoint))
     }
 
-    /// The weight of the endpoint of that name, relative to the others'.
+    /// The weight of the endpoint named `endpoint`, relative to other endpoints.
     pub fn weight(&self, endpoint: &str) -> u32 {
         self.weights
             .iter()
-            .find(|weight| weight.pattern.fits(endpoint))
-            .map_or(WEIGHT, |weight| weight.share)
+            .find(|weight| weight.pattern.matches(endpoint))
+            .map_or(DEFAULT_WEIGHT, |weight| weight.weight)
     }
 
-    /// Checks that no request may wait in the queue for longer than its deadline.
-    fn times(&self, source: &Source, raw: &raw::Service) -> Result<(), Error> {
+    /// Checks that the queue time does not exceed the request deadline.
+    fn check_queue_time(&self, source: &Source, raw: &raw::Service) -> Result<(), Error> {
         let limits = raw.limits.as_ref().map(toml::Spanned::get_ref);
-        let wait = limits.and_then(|limits| limits.queue_ms.as_ref());
+        let queue_ms = limits.and_then(|limits| limits.queue_ms.as_ref());
         let requests = raw.requests.as_ref().map(toml::Spanned::get_ref);
-        let deadline = requests.and_then(|requests| requests.deadline_ms.as_ref());
-        match wait.or(deadline) {
-            Some(place) if self.limits.queue_ms > self.requests.deadline_ms => Err(source
+        let deadline_ms = requests.and_then(|requests| requests.deadline_ms.as_ref());
+        match queue_ms.or(deadline_ms) {
+            Some(value) if self.limits.queue_ms > self.requests.deadline_ms => Err(source
                 .contradiction(
-                    place.span(),
+                    value.span(),
                     format!(
                         "`limits.queue_ms` ({}) is longer than `requests.deadline_ms` ({})",
                         self.limits.queue_ms, self.requests.deadline_ms
@@ -103,15 +109,19 @@
     }
 }
 
-fn optional<R, T: Default>(
+fn raw_or_default<R, T: Default>(
     source: &Source,
     raw: Option<&R>,
-    check: impl Fn(&Source, &R) -> Result<T, Error>,
+    from_raw: impl Fn(&Source, &R) -> Result<T, Error>,
 ) -> Result<T, Error> {
-    raw.map_or_else(|| Ok(T::default()), |raw| check(source, raw))
+    raw.map_or_else(|| Ok(T::default()), |raw| from_raw(source, raw))
 }
 
-fn address(source: &Source, raw: &raw::Service, at: usize) -> Result<Option<Address>, Error> {
+fn address_from_raw(
+    source: &Source,
+    raw: &raw::Service,
+    offset: usize,
+) -> Result<Option<Address>, Error> {
     match (raw.address, raw.port, raw.transport) {
         (Some(ip), Some(port), Some(transport)) => Ok(Some(Address {
             ip,
@@ -120,46 +130,48 @@
         })),
         (None, None, None) => Ok(None),
         _ => Err(source.contradiction(
-            at..at,
+            offset..offset,
             "`address`, `port` and `transport` are given together or not at all",
         )),
     }
 }
 
-/// Checks that the keys fit the mode.
-fn mode(source: &Source, raw: &raw::Service, address: Option<Address>) -> Result<(), Error> {
-    let place = raw.mode.span();
+/// Checks that the keys of the service are valid for its mode.
+fn check_mode(source: &Source, raw: &raw::Service, address: Option<Address>) -> Result<(), Error> {
+    let span = raw.mode.span();
     let limits = raw.limits.as_ref().map(toml::Spanned::get_ref);
-    let queued = limits.is_some_and(|limits| {
+    let has_request_limits = limits.is_some_and(|limits| {
         limits.body_bytes.is_some()
             || limits.queue.is_some()
             || limits.queue_ms.is_some()
             || limits.requests.is_some()
     });
-    let advice = match raw.mode.get_ref() {
+    let message = match raw.mode.get_ref() {
         Mode::Flows if address.is_none() => "mode `flows` needs `address`, `port` and `transport`",
         Mode::Flows if !raw.hosts.is_empty() => "`hosts` needs mode `requests`",
         Mode::Flows if raw.requests.is_some() => "the table `requests` needs mode `requests`",
         Mode::Flows if raw.retry.is_some() => "the table `retry` needs mode `requests`",
-        Mode::Flows if queued => "`limits` other than `connections` need mode `requests`",
+        Mode::Flows if has_request_limits => {
+            "`limits` other than `connections` need mode `requests`"
+        }
         Mode::Requests if raw.hosts.is_empty() => "mode `requests` needs `hosts`",
         Mode::Requests if address.is_some() => {
             "`address`, `port` and `transport` need mode `flows`"
         }
         Mode::Flows | Mode::Requests => return Ok(()),
     };
-    Err(source.contradiction(place, advice))
+    Err(source.contradiction(span, message))
 }
 
-fn endpoints(source: &Source, raw: &raw::Service) -> Result<Box<[Pattern]>, Error> {
-    let place = raw.endpoints.span();
+fn endpoints_from_raw(source: &Source, raw: &raw::Service) -> Result<Box<[Pattern]>, Error> {
+    let span = raw.endpoints.span();
     if raw.endpoints.get_ref().is_empty() {
-        return Err(source.invalid(place, "`endpoints` is empty"));
+        return Err(source.invalid(span, "`endpoints` is empty"));
     }
     raw.endpoints
         .get_ref()
         .iter()
-        .map(|text| Pattern::check(text))
+        .map(|text| Pattern::parse(text))
         .collect::<Result<_, _>>()
-        .map_err(|advice| source.invalid(place, advice))
+        .map_err(|message| source.invalid(span, message))
 }
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! An instance's settings.
+//! Settings of an instance.
 
 use std::{
     collections::BTreeMap,
@@ -19,33 +19,33 @@
     tls::Tls, //
 };
 
-/// Where the instance listens; port 0 takes a free port.
+/// Listen addresses; port 0 selects a free port.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Listen {
-    /// Operators, announcements, health and metrics, over HTTP.
+    /// HTTP for operators, announcements, health checks and metrics.
     pub admin: SocketAddr,
-    /// Packets from the fabric, GRE in UDP; set for role `entry`.
+    /// GRE-in-UDP packets from the fabric; set for role `entry`.
     pub fabric: Option<SocketAddr>,
-    /// Other instances, TCP and UDP.
+    /// TCP and UDP from other instances.
     pub inner: SocketAddr,
-    /// Callers' requests, over HTTP/1.1; set for role `entry`.
+    /// HTTP/1.1 requests of clients; set for role `entry`.
     pub requests: Option<SocketAddr>,
 }
 
-/// The level of a log target.
+/// Log level of a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Level {
-    /// Everything that helps to find a fault.
+    /// Details for debugging.
     Debug,
-    /// Failures only.
+    /// Errors only.
     Error,
-    /// Changes that an operator wants to see.
+    /// Changes of state that are relevant to operators.
     Info,
-    /// Nothing.
+    /// Logging is disabled.
     Off,
-    /// Each step.
+    /// Every step.
     Trace,
-    /// Failures, and what may lead to them.
+    /// Errors and conditions that may lead to them.
     Warn,
 }
 
@@ -82,54 +82,54 @@
     }
 }
 
-/// What the instance logs.
+/// Log levels.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Log {
-    /// Level of all targets that have none of their own.
+    /// Level of targets that are not listed in `targets`.
     pub level: Level,
     /// Level by target.
     pub targets: BTreeMap<Box<str>, Level>,
 }
 
-/// An instance's checked settings.
+/// Validated settings of an instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// The data folder; set for role `store`.
+    /// Data folder; set for role `store`.
     pub data: Option<PathBuf>,
-    /// Who the instance is.
+    /// Identity and roles.
     pub instance: Instance,
-    /// The file of operators' keys; without one, edits are taken from loopback addresses only.
+    /// Path of the key file; without one, edits are accepted only from loopback addresses.
     pub keys: Option<PathBuf>,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: Listen,
-    /// What it logs.
+    /// Log levels.
     pub log: Log,
-    /// Inner addresses of instances that it asks first.
+    /// Inner addresses of the instances to contact first.
     pub seeds: Box<[SocketAddr]>,
-    /// TLS of the admin face; without it the face is plain HTTP.
+    /// TLS of the admin listener, which uses plain HTTP without it.
     pub tls: Option<Tls>,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Any refusal of [`Error`].
+    /// [`Error`] if the file cannot be read or is not a valid settings file.
     pub fn read(path: &Path) -> Result<Self, Error> {
         Self::parse(&Source::read(path)?)
     }
 
-    /// Checks a settings text.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Any refusal of [`Error`], with its place in the text.
+    /// [`Error`] with its position if the text is not a valid settings file.
     pub fn parse(source: &Source) -> Result<Self, Error> {
         let raw: raw::Settings = source.parse()?;
-        let instance = instance(source, raw.instance.get_ref())?;
-        entry(source, &instance, &raw.listen)?;
-        let data = data(source, &instance, &raw)?;
+        let instance = instance_from_raw(source, raw.instance.get_ref())?;
+        check_listeners(source, &instance, &raw.listen)?;
+        let data = data_folder(source, &instance, &raw)?;
         let listen = raw.listen.into_inner();
         Ok(Self {
             data,
@@ -141,7 +141,7 @@
                 inner: listen.inner,
                 requests: listen.requests,
             },
-            log: log(source, &raw.log)?,
+            log: log_from_raw(source, &raw.log)?,
             seeds: raw.seeds.into(),
             tls: raw.tls.map(|tls| Tls {
                 certificate: tls.certificate,
@@ -151,7 +151,7 @@
     }
 }
 
-fn instance(source: &Source, raw: &raw::Instance) -> Result<Instance, Error> {
+fn instance_from_raw(source: &Source, raw: &raw::Instance) -> Result<Instance, Error> {
     for name in [&raw.name, &raw.centre] {
         if name.get_ref().is_empty() {
             return Err(source.invalid(name.span(), "the name is empty"));
@@ -174,14 +174,14 @@
     })
 }
 
-fn entry(
+fn check_listeners(
     source: &Source,
     instance: &Instance,
     listen: &toml::Spanned<raw::Listen>,
 ) -> Result<(), Error> {
     let raw = listen.get_ref();
-    let faces = (raw.fabric.is_some(), raw.requests.is_some());
-    match (instance.has(Role::Entry), faces) {
+    let configured = (raw.fabric.is_some(), raw.requests.is_some());
+    match (instance.has_role(Role::Entry), configured) {
         (true, (true, true)) | (false, (false, false)) => Ok(()),
         (true, _) => Err(source.contradiction(
             listen.span(),
@@ -194,12 +194,12 @@
     }
 }
 
-fn data(
+fn data_folder(
     source: &Source,
     instance: &Instance,
     raw: &raw::Settings,
 ) -> Result<Option<PathBuf>, Error> {
-    match (instance.has(Role::Store), &raw.store) {
+    match (instance.has_role(Role::Store), &raw.store) {
         (true, Some(store)) => Ok(Some(store.get_ref().data.clone())),
         (true, None) => Err(source.contradiction(
             raw.instance.get_ref().roles.span(),
@@ -212,11 +212,11 @@
     }
 }
 
-fn log(source: &Source, raw: &raw::Log) -> Result<Log, Error> {
+fn log_from_raw(source: &Source, raw: &raw::Log) -> Result<Log, Error> {
     let level = |text: &toml::Spanned<Box<str>>| {
         text.get_ref()
             .parse::<Level>()
-            .map_err(|advice| source.invalid(text.span(), advice))
+            .map_err(|message| source.invalid(text.span(), message))
     };
     let mut targets = BTreeMap::new();
     for (target, text) in &raw.targets {
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -1,4 +1,4 @@
-//! A text together with the name it is reported under.
+//! Named source texts for diagnostics.
 
 use std::{
     fs,
@@ -15,7 +15,7 @@
 
 use crate::error::Error;
 
-/// A settings or document text, with the name that reports show.
+/// Text of a settings file, key file or document, with the name that diagnostics show.
 #[derive(Clone, Debug)]
 pub struct Source {
     name: Box<str>,
@@ -52,52 +52,52 @@
         &self.text
     }
 
-    /// Parses the text into a generated type.
+    /// Deserializes the text from TOML.
     ///
     /// # Errors
     ///
-    /// [`Error::Syntax`] with the place of the first fault.
+    /// [`Error::Syntax`] with the position of the first error.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, Error> {
         toml::from_str(&self.text).map_err(|cause| Error::Syntax {
-            advice: cause.message().into(),
-            place: cause.span().unwrap_or_default().into(),
-            text: self.named(),
+            message: cause.message().into(),
+            span: cause.span().unwrap_or_default().into(),
+            text: self.named_source(),
         })
     }
 
-    /// An error about a value at `place`, in bytes from the text's start.
-    pub fn invalid(&self, place: Range<usize>, advice: impl Into<Box<str>>) -> Error {
+    /// Creates an error about the value at `span`, a byte range of the text.
+    pub fn invalid(&self, span: Range<usize>, message: impl Into<Box<str>>) -> Error {
         Error::Value {
-            advice: advice.into(),
-            place: place.into(),
-            text: self.named(),
+            message: message.into(),
+            span: span.into(),
+            text: self.named_source(),
         }
     }
 
-    /// An error about two keys that contradict each other, reported at `place`.
-    pub fn contradiction(&self, place: Range<usize>, advice: impl Into<Box<str>>) -> Error {
+    /// Creates an error about contradicting keys, reported at `span`.
+    pub fn contradiction(&self, span: Range<usize>, message: impl Into<Box<str>>) -> Error {
         Error::Contradiction {
-            advice: advice.into(),
-            place: place.into(),
-            text: self.named(),
+            message: message.into(),
+            span: span.into(),
+            text: self.named_source(),
         }
     }
 
-    /// An error about a name or address that is given a second time at `place`.
-    pub fn repeated(&self, place: Range<usize>, advice: impl Into<Box<str>>) -> Error {
+    /// Creates an error about a name or address that is repeated at `span`.
+    pub fn repeated(&self, span: Range<usize>, message: impl Into<Box<str>>) -> Error {
         Error::Repeated {
-            advice: advice.into(),
-            place: place.into(),
-            text: self.named(),
+            message: message.into(),
+            span: span.into(),
+            text: self.named_source(),
         }
     }
 
-    /// The number of an optional key, or `default` if it is not given.
+    /// Returns the number of an optional key, or `default` if the key is missing.
     ///
     /// # Errors
     ///
-    /// [`Error::Value`] for a number out of `range`.
-    pub(crate) fn within<T: TryFrom<u64>>(
+    /// [`Error::Value`] if the number is outside `range`.
+    pub(crate) fn in_range<T: TryFrom<u64>>(
         &self,
         value: &Option<Spanned<u64>>,
         key: &str,
@@ -109,16 +109,16 @@
         };
         let number = *value.get_ref();
         match T::try_from(number) {
-            Ok(found) if range.contains(&number) => Ok(found),
+            Ok(converted) if range.contains(&number) => Ok(converted),
             Ok(_) | Err(_) => {
-                let (least, most) = (range.start(), range.end());
-                let advice = format!("`{key}` is {number}; it may be {least} to {most}");
-                Err(self.invalid(value.span(), advice))
+                let (min, max) = (range.start(), range.end());
+                let message = format!("`{key}` is {number}; it may be {min} to {max}");
+                Err(self.invalid(value.span(), message))
             }
         }
     }
 
-    fn named(&self) -> NamedSource<String> {
+    fn named_source(&self) -> NamedSource<String> {
         NamedSource::new(&self.name, self.text.to_string()).with_language("TOML")
     }
 }
--- a/crates/settings/src/tls.rs
+++ b/crates/settings/src/tls.rs
@@ -1,12 +1,12 @@
-//! TLS of the admin face.
+//! TLS of the admin listener.
 
 use std::path::PathBuf;
 
-/// The files that the admin face's TLS is set up from, both PEM.
+/// PEM files for TLS on the admin listener.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Tls {
-    /// The certificate chain, the instance's own first.
+    /// Certificate chain, the instance's own certificate first.
     pub certificate: PathBuf,
-    /// The private key.
+    /// Private key.
     pub key: PathBuf,
 }
--- a/crates/settings/src/weight.rs
+++ b/crates/settings/src/weight.rs
@@ -9,40 +9,41 @@
     source::Source, //
 };
 
-/// Weight of an endpoint that no pattern names.
-pub const WEIGHT: u32 = 1;
+/// Weight of an endpoint that no pattern matches.
+pub const DEFAULT_WEIGHT: u32 = 1;
 
-/// The weight of the endpoints that fit a pattern.
+/// The weight of the endpoints that match a pattern.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Weight {
-    /// Which endpoints.
+pub struct PatternWeight {
+    /// Endpoint names that the weight applies to.
     pub pattern: Pattern,
-    /// Their share, relative to the others' weights.
-    pub share: u32,
+    /// Share of new work, relative to the weights of other endpoints.
+    pub weight: u32,
 }
 
-impl Weight {
-    /// Checks the weights of a raw service, whose endpoints fit `endpoints`.
-    pub(crate) fn check(
+impl PatternWeight {
+    /// Validates the weights of a service whose endpoint patterns are `endpoints`, and sorts them
+    /// most specific first.
+    pub(crate) fn list_from_raw(
         source: &Source,
         raw: &raw::Service,
         endpoints: &[Pattern],
     ) -> Result<Box<[Self]>, Error> {
         let mut weights = Vec::with_capacity(raw.weights.len());
-        for (text, share) in &raw.weights {
+        for (text, weight) in &raw.weights {
             let pattern =
-                Pattern::check(text).map_err(|advice| source.invalid(share.span(), advice))?;
+                Pattern::parse(text).map_err(|message| source.invalid(weight.span(), message))?;
             if !endpoints.iter().any(|other| other.covers(&pattern)) {
-                let advice = format!("the weight of `{text}` fits none of `endpoints`");
-                return Err(source.contradiction(share.span(), advice));
+                let message = format!("the weight of `{text}` fits none of `endpoints`");
+                return Err(source.contradiction(weight.span(), message));
             }
             let key = format!("weights.{text}");
             weights.push(Self {
                 pattern,
-                share: source.within(&Some(share.clone()), &key, 1..=1_000, WEIGHT)?,
+                weight: source.in_range(&Some(weight.clone()), &key, 1..=1_000, DEFAULT_WEIGHT)?,
             });
         }
-        weights.sort_by_key(|weight| Reverse(weight.pattern.rank()));
+        weights.sort_by_key(|weight| Reverse(weight.pattern.specificity()));
         Ok(weights.into())
     }
 }
--- a/crates/settings/tests/service.rs
+++ b/crates/settings/tests/service.rs
@@ -1,4 +1,4 @@
-//! Services of the operators' document: defaults, values, and the text of each refusal.
+//! Services of the document: defaults, values, and the text of each error.
 
 use miette::{
     Diagnostic,
@@ -41,8 +41,8 @@
     parse(text).unwrap().services[0].clone()
 }
 
-/// Checks the code, the message and the line that a refusal points at.
-fn refused(text: &str, code: u16, message: &str, line: usize) {
+/// Asserts the result code, the message and the line of the error.
+fn assert_error(text: &str, code: u16, message: &str, line: usize) {
     let error = parse(text).unwrap_err();
     assert_eq!(error.to_string(), message, "{text}");
     assert_eq!(error.result_code().number(), code, "{text}");
@@ -60,7 +60,10 @@
     assert_eq!(service.limits, Limits::default());
     assert_eq!(service.requests, Requests::default());
     assert_eq!(service.retry, Retry::default());
-    assert_eq!(service.weight("desk-1"), mimosausher_settings::WEIGHT);
+    assert_eq!(
+        service.weight("desk-1"),
+        mimosausher_settings::DEFAULT_WEIGHT
+    );
 }
 
 #[test]
@@ -119,11 +122,11 @@
         let text = format!("{REQUESTS}[service.{table}]\n{row}\n");
         let (key, value) = row.split_once(" = ").unwrap();
         let message = format!("`{key}` is {value}; it may be {range}");
-        refused(&text, 1003, &message, 8);
+        assert_error(&text, 1003, &message, 8);
     }
     let text = format!("{REQUESTS}weights = {{ \"desk-1\" = 0 }}\n");
     let message = "`weights.desk-1` is 0; it may be 1 to 1000";
-    refused(&text, 1003, message, 7);
+    assert_error(&text, 1003, message, 7);
 }
 
 #[test]
@@ -131,12 +134,12 @@
     let text = format!("{REQUESTS}[service.limits]\nqueues = 1\n");
     let message = "unknown field `queues`, expected one of `body_bytes`, `connections`, \
                    `queue`, `queue_ms`, `requests`";
-    refused(&text, 1002, message, 8);
+    assert_error(&text, 1002, message, 8);
     let text = format!("{REQUESTS}[service.retry]\nattempts = \"2\"\n");
-    refused(&text, 1002, "invalid type: string \"2\", expected u64", 8);
+    assert_error(&text, 1002, "invalid type: string \"2\", expected u64", 8);
     let text = format!("{REQUESTS}[service.change]\ndrain_ms = -1\n");
     let message = "invalid value: integer `-1`, expected u64";
-    refused(&text, 1002, message, 8);
+    assert_error(&text, 1002, message, 8);
 }
 
 #[test]
@@ -184,7 +187,7 @@
         ),
     ];
     for (rows, message, line) in more {
-        refused(&format!("{REQUESTS}{rows}"), 1004, message, line);
+        assert_error(&format!("{REQUESTS}{rows}"), 1004, message, line);
     }
 }
 
@@ -206,14 +209,14 @@
         ),
     ];
     for (rows, message) in more {
-        refused(&format!("{FLOWS}{rows}"), 1004, message, 4);
+        assert_error(&format!("{FLOWS}{rows}"), 1004, message, 4);
     }
     let text = FLOWS
         .replace("port = 4000\n", "")
         .replace("transport = \"udp\"\n", "");
     let text = text.replace("address = \"203.0.113.10\"\n", "");
     let message = "mode `flows` needs `address`, `port` and `transport`";
-    refused(&text, 1004, message, 4);
+    assert_error(&text, 1004, message, 4);
     let limits = format!("{FLOWS}[service.limits]\nconnections = 7\n");
     assert_eq!(service(&limits).limits.connections, 7);
 }
@@ -228,13 +231,13 @@
         ("\"booking\"", "\"\"", "`team` is empty", 1),
     ];
     for (old, new, message, line) in cases {
-        refused(&REQUESTS.replacen(old, new, 1), 1003, message, line);
+        assert_error(&REQUESTS.replacen(old, new, 1), 1003, message, line);
     }
     let text = REQUESTS.replace("hosts = [\"booking.example\"]\n", "");
-    refused(&text, 1004, "mode `requests` needs `hosts`", 4);
+    assert_error(&text, 1004, "mode `requests` needs `hosts`", 4);
     let (_, rows) = REQUESTS.split_once('\n').unwrap();
     let text = format!("{REQUESTS}{rows}");
-    refused(&text, 1005, "service `desk` is given twice", 8);
+    assert_error(&text, 1005, "service `desk` is given twice", 8);
 }
 
 #[test]
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! An instance's settings: operators' keys, TLS, and the text of each refusal.
+//! Instance settings and key files: values that are read, and the text of each error.
 
 use std::path::Path;
 
@@ -21,7 +21,7 @@
 requests = "127.0.0.1:0"
 "#;
 
-fn refusal(text: &str) -> (u16, String) {
+fn error_of(text: &str) -> (u16, String) {
     let error = Settings::parse(&Source::new("settings", text)).unwrap_err();
     (error.result_code().number(), error.to_string())
 }
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn settings_operators() {
+fn settings_keys_and_tls() {
     let text =
         format!("{ENTRY}[operators]\nkeys = \"/k\"\n[tls]\ncertificate = \"/c\"\nkey = \"/p\"\n");
     let settings = Settings::parse(&Source::new("settings", &text)).unwrap();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn settings_refusals() {
+fn settings_errors() {
     let cases = [
         (
             ENTRY.replace("fabric = \"127.0.0.1:0\"\n", ""),
@@ -86,12 +86,12 @@
         ),
     ];
     for (text, code, message) in cases {
-        assert_eq!(refusal(&text), (code, message.into()));
+        assert_eq!(error_of(&text), (code, message.into()));
     }
 }
 
 #[test]
-fn keys_holders() {
+fn keys_owners() {
     let digest = "00ff".repeat(16);
     let other = "11ff".repeat(16);
     let text = format!(
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn keys_refusals() {
+fn keys_errors() {
     let digest = "00ff".repeat(16);
     let row = format!("sha256 = \"{digest}\"");
     let one = format!("[[key]]\nteam = \"a\"\n{row}\n");
