--- a/crates/settings/src/pattern.rs
+++ b/crates/settings/src/pattern.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sort key by specificity: a full name ranks above a prefix, a longer text above a shorter one.
+    /// Sort key by specificity: full names above prefixes, longer texts above shorter ones.
     pub(crate) fn specificity(&self) -> (bool, usize) {
         (!self.0.ends_with('*'), self.0.len())
     }
