--- a/crates/wire/benches/capacity.rs
+++ b/crates/wire/benches/capacity.rs
@@ -1,4 +1,4 @@
-//! Bytes of an answer to a follower, by the number of services in the section that changed.
+//! Size of a reply to a follower, by the number of services in the changed section.
 
 #![allow(missing_docs, reason = "a benchmark has no public items")]
 
@@ -10,20 +10,20 @@
 use standin::Fit;
 
 /// Numbers of services in the section.
-const SIZES: [u32; 5] = [1, 5, 10, 50, 100];
+const SERVICE_COUNTS: [u32; 5] = [1, 5, 10, 50, 100];
 
-/// Bytes of the frame's length and of the call around the answer, at most.
-const FRAME_BYTES: usize = 24;
+/// Maximum overhead of the frame header and the call envelope, in bytes.
+const OVERHEAD_BYTES: usize = 24;
 
 fn main() {
-    let points: Vec<_> = SIZES
-        .map(|services| (f64::from(services), bytes(services)))
+    let points: Vec<_> = SERVICE_COUNTS
+        .map(|services| (f64::from(services), reply_bytes(services)))
         .to_vec();
     let case = "by service in the section that changed";
     Fit::new(&points).print("capacity.delta_bytes", case, "B");
 }
 
-fn bytes(services: u32) -> f64 {
+fn reply_bytes(services: u32) -> f64 {
     let mut text = String::from("team = \"team-1\"\n");
     for service in 0..services {
         text += &format!(
@@ -46,6 +46,6 @@
         }),
         revision: 100_000,
     };
-    let length = postcard::to_stdvec(&followed).unwrap().len() + FRAME_BYTES;
+    let length = postcard::to_stdvec(&followed).unwrap().len() + OVERHEAD_BYTES;
     f64::from(u32::try_from(length).unwrap())
 }
--- a/crates/wire/src/trail.rs
+++ b/crates/wire/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail and the history of sections, as they are read back.
+//! Queries of the audit trail and of section history.
 
 use serde::{
     Deserialize,
@@ -7,34 +7,34 @@
 
 use crate::edit::Outcome;
 
-/// Which lines of the audit trail are read.
+/// Selects lines of the audit trail.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct AuditQuery {
-    /// How many at most; the latest ones.
+    /// Maximum number of lines; the latest are returned.
     pub count: u32,
-    /// Of one section only.
+    /// Limits the lines to one section.
     pub section: Option<Box<str>>,
 }
 
-/// Lines of the audit trail that are shown if the caller does not say how many.
+/// Default of [`AuditQuery::count`] in operators' requests.
 pub const AUDIT_LINES: u32 = 100;
 
-/// One line of the audit trail.
+/// A line of the audit trail.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct AuditLine {
-    /// Who edited.
+    /// Name of the author.
     pub author: Box<str>,
-    /// Version that the edit was made from.
+    /// Version that the edit was based on.
     pub base: u64,
-    /// The edit's id.
+    /// Id of the edit.
     pub id: Box<str>,
-    /// What became of it.
+    /// Outcome of the edit.
     pub outcome: Outcome,
     /// Name of the section.
     pub section: Box<str>,
-    /// When it was received, in milliseconds since the Unix epoch.
+    /// Time at which the edit was received, in milliseconds since the Unix epoch.
     pub time: u64,
 }
 
@@ -42,12 +42,12 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct PastVersion {
-    /// Who made it; none if the audit trail no longer tells.
+    /// Name of the author; `None` if the audit trail no longer contains the edit.
     pub author: Option<Box<str>>,
-    /// Its text; empty if the section was removed.
+    /// Text of the section; empty if the section was removed.
     pub text: Box<str>,
-    /// When it was received, in milliseconds since the Unix epoch.
+    /// Time at which the edit was received, in milliseconds since the Unix epoch.
     pub time: Option<u64>,
-    /// Its number.
+    /// Version number.
     pub version: u64,
 }
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -1,6 +1,11 @@
-//! The calls between instances.
+//! Remote calls between instances.
 
 use crate::{
+    audit::{
+        AuditLine,
+        AuditQuery,
+        PastVersion, //
+    },
     claim::{
         Claim,
         ClaimEnd,
@@ -15,64 +20,62 @@
         Follow,
         Followed, //
     },
-    log::{
+    replication::{
         Decision,
         Identity,
         LogMessage,
         Proposal, //
     },
     status::Status,
-    trail::{
-        AuditLine,
-        AuditQuery,
-        PastVersion, //
-    },
 };
 
-/// Calls that an instance answers to other instances.
+/// Calls that an instance serves to other instances.
 #[tarpc::service]
 pub trait Inner {
-    /// Reads the audit trail; none if this instance is no store or no quorum confirms it.
+    /// Returns lines of the audit trail; `None` if this instance is not a store or has no
+    /// confirmation from a quorum.
     async fn audit(query: AuditQuery) -> Option<Vec<AuditLine>>;
 
-    /// Answers at once, to show that the connection is alive.
+    /// Heartbeat; returns immediately.
     async fn beat();
 
     /// Claims an idempotency key; entries only.
     async fn claim(claim: Claim) -> ClaimReply;
 
-    /// Hands over all claims to a new holder; none if this entry may have missed some.
+    /// Returns all claims for a new holder; `None` if this entry may have missed some.
     async fn claims() -> Option<Vec<ClaimRecord>>;
 
     /// Accepts or refuses an edit; stores only.
     async fn edit(edit: Edit) -> Outcome;
 
-    /// Waits for a document newer than the follower's, for a while; none if this instance is no
-    /// store.
+    /// Waits for a limited time for a document newer than the follower's; `None` if this instance
+    /// is not a store.
     async fn follow(follow: Follow) -> Option<Followed>;
 
-    /// Reads the last versions of a section, oldest first; none if this instance is no store or
-    /// no quorum confirms it.
+    /// Returns the last versions of a section, oldest first; `None` if this instance is not a store
+    /// or has no confirmation from a quorum.
     async fn history(section: Box<str>) -> Option<Vec<PastVersion>>;
 
-    /// Says which data folder the store has; none from other instances.
+    /// Returns the identity of the store's data folder; `None` if this instance is not a store.
     async fn identify() -> Option<Identity>;
 
-    /// Says the latest accepted revision; none if this store does not lead, or can't tell.
+    /// Returns the latest accepted revision; `None` unless this store is the leader and can confirm
+    /// it.
     async fn latest() -> Option<u64>;
 
-    /// Takes a message of the replicated log; stores only.
+    /// Receives a message of the replicated log; stores only.
     async fn log(message: LogMessage);
 
-    /// Decides a request if this store leads, and refuses it otherwise.
+    /// Decides a proposal if this store is the leader, and refuses it otherwise.
     async fn propose(proposal: Proposal) -> Decision;
 
-    /// Takes in how the request of a claim ended; entries only.
+    /// Records how the request of a claim ended; entries only.
     async fn settle(claim: Claim, end: ClaimEnd) -> bool;
 
-    /// Describes the instance.
+    /// Returns the status of the instance.
     async fn status() -> Status;
 
-    /// Whether no document has ever been in force; none from an instance that cannot know.
+    /// Whether no document has ever been in force; `None` unless this store is the leader and has
+    /// the whole log.
     async fn unused() -> Option<bool>;
 }
--- a/crates/wire/src/claim.rs
+++ b/crates/wire/src/claim.rs
@@ -1,4 +1,6 @@
-//! Claims on idempotency keys, as they go between entries.
+//! Claims on idempotency keys, exchanged between entries.
+//!
+//! The holders of a key are the entries that record the claims on it.
 
 use serde::{
     Deserialize,
@@ -9,17 +11,17 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Claim {
-    /// Name of the entry that claims.
+    /// Name of the entry that makes the claim.
     pub claimant: Box<str>,
-    /// Hash of the service's name and the key.
+    /// Hash of the service name and the key.
     pub hash: u128,
-    /// The data centre that the key names.
+    /// Data centre that the key names.
     pub home: Option<Box<str>>,
-    /// Incarnation of the entry that claims.
+    /// Incarnation of the entry that makes the claim.
     pub incarnation: u64,
-    /// Hash of what makes the request differ from another one.
+    /// Fingerprint of the request; a different one under the same key is a mismatch.
     pub print: u64,
-    /// Number of the claim at its entry.
+    /// Sequence number of the claim at its entry.
     pub serial: u64,
 }
 
@@ -27,11 +29,11 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum ClaimReply {
-    /// The key was answered before; the answer is missing if it is not kept.
+    /// A request with the key was answered before; `None` if the answer was not stored.
     Answered(Option<Box<[u8]>>),
-    /// The holder has no room for further claims.
+    /// The holder has no capacity for further claims.
     Full,
-    /// The claim is taken.
+    /// The claim is granted.
     Granted,
     /// Another claim holds the key.
     Held {
@@ -39,12 +41,12 @@
         claimant: Box<str>,
         /// Incarnation of the entry.
         incarnation: u64,
-        /// Number of the claim at the entry.
+        /// Sequence number of the claim at the entry.
         serial: u64,
     },
-    /// The key was used for another request.
+    /// The key was used for a different request.
     Mismatch,
-    /// The holder may have missed an earlier claim, or the earlier claim's end is not known.
+    /// The holder may have missed an earlier claim, or the outcome of the earlier claim is unknown.
     Unknown,
 }
 
@@ -52,15 +54,15 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum ClaimEnd {
-    /// It was answered; the answer is missing if it is too long to be kept.
+    /// It was answered; `None` if the answer is too long to be stored.
     Answered(Option<Box<[u8]>>),
     /// It was not sent, or was refused before it ran.
     NotRun,
-    /// It was sent, and its end is not known.
+    /// It was sent and its outcome is unknown.
     Unknown,
 }
 
-/// A claim as it is handed over to a new holder.
+/// A claim as transferred to a new holder.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct ClaimRecord {
@@ -68,6 +70,6 @@
     pub age: u64,
     /// The claim.
     pub claim: Claim,
-    /// How it ended, without the answer; none while it runs.
+    /// Outcome without the answer; `None` while the request is running.
     pub end: Option<ClaimEnd>,
 }
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls over one connection, with heartbeats.
+//! Client of a connection between instances, with heartbeats.
 
 use std::{
     ops::Deref,
@@ -17,25 +17,25 @@
 
 use crate::call::InnerClient;
 
-/// Time between two heartbeats of a connection.
-const BEAT: Duration = Duration::from_secs(3);
+/// Interval between heartbeats on a connection.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time after which a connection whose heartbeat is not answered is closed.
-const BEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time after which an unanswered heartbeat closes the connection.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Calls over one connection; it stays open as long as a clone of this exists.
+/// Client of one connection, which stays open until the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct Client(Rc<InnerClient>);
 
 impl Client {
-    /// Creates a client of an open connection.
+    /// Creates a client for an open connection.
     pub(crate) fn new(inner: InnerClient) -> Self {
         Self(Rc::new(inner))
     }
 
-    /// Returns when the connection is silent, or when no clone of the client is left.
-    pub(crate) fn watch(&self) -> impl Future<Output = ()> + use<> {
-        watch(Rc::downgrade(&self.0))
+    /// Sends heartbeats until one is not answered or the last clone of the client is dropped.
+    pub(crate) fn send_heartbeats(&self) -> impl Future<Output = ()> + use<> {
+        send_heartbeats(Rc::downgrade(&self.0))
     }
 }
 
@@ -47,14 +47,14 @@
     }
 }
 
-async fn watch(client: Weak<InnerClient>) {
+async fn send_heartbeats(client: Weak<InnerClient>) {
     loop {
-        sleep(BEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
         let Some(client) = client.upgrade() else {
             return;
         };
-        let beat = client.beat(context::current());
-        if !matches!(timeout(BEAT_TIMEOUT, beat).await, Ok(Ok(()))) {
+        let heartbeat = client.beat(context::current());
+        if !matches!(timeout(HEARTBEAT_TIMEOUT, heartbeat).await, Ok(Ok(()))) {
             return;
         }
     }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! The frames' codec.
+//! Codec of the frames on a connection.
 
 use std::{
     io,
@@ -19,15 +19,17 @@
     BytesMut, //
 };
 
-/// Encodes sent items and decodes received ones with `postcard`.
+/// Encodes sent messages and decodes received ones with `postcard`.
 #[derive(Debug)]
 pub struct Postcard<Received, Sent> {
-    items: PhantomData<fn(Sent) -> Received>,
+    marker: PhantomData<fn(Sent) -> Received>,
 }
 
 impl<Received, Sent> Default for Postcard<Received, Sent> {
     fn default() -> Self {
-        Self { items: PhantomData }
+        Self {
+            marker: PhantomData,
+        }
     }
 }
 
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,4 +1,4 @@
-//! The calling side of a connection between instances.
+//! Client side of connections between instances.
 
 use std::{
     net::SocketAddr,
@@ -29,14 +29,14 @@
     error::Error, //
 };
 
-/// Connects to the instance at `address`; the connection is closed once it is silent.
+/// Connects to the instance at `address`; a connection that misses a heartbeat is closed.
 ///
 /// Runs on the current `compio` runtime; a `tokio` runtime must be entered for the timers that
-/// `tarpc` creates. These never fire, so that each call needs a timeout of its own.
+/// `tarpc` creates. These timers never fire, so each call needs its own timeout.
 ///
 /// # Errors
 ///
-/// [`Error::Unreachable`] if no connection can be made.
+/// [`Error::Unreachable`] if the connection cannot be established.
 pub async fn connect(address: SocketAddr) -> Result<Client, Error> {
     let stream = TcpStream::connect(address)
         .await
@@ -46,10 +46,10 @@
     let transport = serde_transport::new(framed, Postcard::default());
     let new = InnerClient::new(Config::default(), transport);
     let client = Client::new(new.client);
-    let watch = client.watch();
+    let heartbeats = client.send_heartbeats();
     compio::runtime::spawn(async move {
-        // Whichever ends first, the connection is closed and its open calls fail.
-        let _closed = select(pin!(new.dispatch), pin!(watch)).await;
+        // When either future completes, the connection is closed and its pending calls fail.
+        let _closed = select(pin!(new.dispatch), pin!(heartbeats)).await;
     })
     .detach();
     Ok(client)
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Single datagrams between instances.
+//! UDP datagrams between instances.
 
 use std::net::SocketAddr;
 
@@ -13,100 +13,99 @@
     instance::Instance, //
 };
 
-/// Longest datagram between instances, in bytes.
+/// Maximum length of a datagram between instances, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 65_507;
 
 /// A datagram between instances.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Datagram {
-    /// Endpoints' announcements, passed on.
+    /// Announcements of endpoints.
     Batch(Batch),
-    /// A message of membership.
+    /// A membership message.
     Member(Member),
 }
 
-/// Endpoints' announcements on their way between instances.
+/// A batch of endpoint announcements that instances relay to each other.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Batch {
-    /// The receiver's last stamp and for how long the sender held it, in microseconds.
+    /// The last `stamp` received from the receiver and the time since then, in microseconds.
     pub echo: Option<(u64, u64)>,
-    /// The announcements.
+    /// Relayed announcements.
     pub reports: Vec<Report>,
-    /// How far they are passed on.
+    /// How the receiver forwards the announcements.
     pub route: Route,
-    /// The sender's clock in microseconds.
+    /// Sender's clock, in microseconds.
     pub stamp: u64,
 }
 
-/// An announcement with what is known of its age.
+/// A relayed announcement with the durations that the sender measured.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Report {
-    /// Time since the endpoint sent it, in milliseconds; never less than the true one.
+    /// Time since the endpoint sent the announcement, in milliseconds; an upper bound.
     pub age: u64,
     /// The announcement.
     pub announcement: Announcement,
-    /// Time for which the endpoint has held its address, in milliseconds; never more than the
-    /// true one.
+    /// Time for which the endpoint has held its address, in milliseconds; a lower bound.
     pub bound: u64,
     /// Time for which the endpoint has been ready, in milliseconds.
     pub warm: u64,
 }
 
-/// How far announcements are passed on.
+/// How the receiver of a batch forwards it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Route {
-    /// Not any further.
+    /// Not forwarded.
     Direct,
-    /// To one more instance.
+    /// Forwarded to one other instance.
     Forward(SocketAddr),
-    /// To the entries of the receiver's data centre.
+    /// Forwarded to all entries of the receiver's data centre.
     Spread,
 }
 
-/// A message of membership.
+/// A membership message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Member {
-    /// What it is for.
+    /// Type of the message.
     pub body: Body,
     /// The sender.
     pub from: Instance,
-    /// What the sender has heard of others.
+    /// Gossip: standings of other members as known to the sender.
     pub rumours: Vec<(Instance, Standing)>,
 }
 
-/// What a message of membership is for.
+/// Type of a membership message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Body {
-    /// Answers the probe of that number.
+    /// Acknowledges the probe with this number.
     Ack(u64),
-    /// Asks for the receiver's whole view.
+    /// Requests the receiver's full member list.
     Join,
-    /// Asks for an answer to the probe of that number.
+    /// Probes the receiver; the number identifies the probe.
     Ping(u64),
-    /// Asks for a probe of another member.
+    /// Requests an indirect probe of the member at the address; the number identifies the probe.
     Request(u64, SocketAddr),
-    /// Carries rumours only.
+    /// Carries gossip only.
     Tell,
 }
 
-/// What is known of a member's presence.
+/// Membership state of an instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Standing {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer, and may still refute that it is dead.
+    /// It did not answer a probe and may still refute the suspicion.
     Suspected,
-    /// It did not answer, nor refute it.
+    /// It did not refute the suspicion in time.
     Dead,
-    /// It left by a planned stop.
+    /// It left in a planned stop.
     Left,
 }
 
@@ -115,7 +114,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if the bytes are not one whole datagram.
+    /// [`Error::Malformed`] if the bytes are not exactly one datagram.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         postcard::from_bytes(bytes).map_err(|cause| Error::Malformed {
             cause,
@@ -127,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if a part cannot be encoded.
+    /// [`Error::Malformed`] if the datagram cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         postcard::to_stdvec(self).map_err(|cause| Error::Malformed { cause, length: 0 })
     }
--- a/crates/wire/src/document.rs
+++ b/crates/wire/src/document.rs
@@ -1,28 +1,28 @@
-//! The document as it is sent.
+//! The document as sent between instances and to operators.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// A section's text and version.
+/// A section with its text and version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct SectionText {
     /// Name of the section.
     pub name: Box<str>,
-    /// Its text.
+    /// Text of the section.
     pub text: Box<str>,
-    /// Its version.
+    /// Version of the section.
     pub version: u64,
 }
 
-/// A whole document.
+/// A snapshot of the whole document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Update {
     /// Revision of the document.
     pub revision: u64,
-    /// All its sections.
+    /// All sections.
     pub sections: Vec<SectionText>,
 }
--- a/crates/wire/src/edit.rs
+++ b/crates/wire/src/edit.rs
@@ -11,40 +11,40 @@
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edit {
-    /// Who edits.
+    /// Name of the author.
     pub author: Box<str>,
-    /// Version of the section that the edit was made from; 0 for a new section.
+    /// Version of the section that the edit is based on; 0 for a new section.
     pub base: u64,
-    /// Identifies the edit, so that it can be resent.
+    /// Unique id, which makes resending the edit idempotent.
     pub id: Box<str>,
     /// Name of the section.
     pub section: Box<str>,
-    /// The team whose key was used; none if every section may be edited.
+    /// Team whose key was used; `None` if the author may edit every section.
     #[serde(default)]
     pub team: Option<Box<str>>,
-    /// Text of the section after the edit; empty to remove the section.
+    /// New text of the section; empty to remove it.
     pub text: Box<str>,
 }
 
-/// What became of an edit.
+/// The outcome of an edit.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Outcome {
-    /// It is synced to disk and will be in force everywhere.
+    /// The edit is synced to disk and will be in force on every instance.
     Accepted {
         /// Revision of the document.
         revision: u64,
         /// Version of the section.
         version: u64,
     },
-    /// It changed nothing.
+    /// The edit was rejected and changed nothing.
     Refused {
-        /// What is wrong, and where.
+        /// Description of the error and its position.
         advice: Box<str>,
-        /// Why.
+        /// Result code.
         code: Code,
-        /// Version of the section in force.
+        /// Current version of the section.
         version: u64,
     },
 }
--- a/crates/wire/src/endpoint.rs
+++ b/crates/wire/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as they announce themselves.
+//! Announcements of endpoints.
 
 use std::net::SocketAddr;
 
@@ -7,42 +7,42 @@
     Serialize, //
 };
 
-/// An endpoint's own word on whether it takes work.
+/// State that an endpoint announces.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Finishes what it has and takes nothing new.
+    /// Finishes open work and accepts no new work.
     Draining,
-    /// Takes work.
+    /// Accepts new work.
     Ready,
-    /// Not yet able to take work.
+    /// Not yet able to accept work.
     Starting,
 }
 
-/// What an endpoint says of itself, as JSON over HTTP and as a datagram between instances.
+/// An endpoint's announcement, sent as JSON over HTTP and relayed in datagrams between instances.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// Where it takes requests, or packets as GRE in UDP.
+    /// Address for requests, or for GRE-in-UDP packets.
     pub address: SocketAddr,
-    /// Name of its data centre.
+    /// Name of the endpoint's data centre.
     pub centre: Box<str>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: u32,
-    /// Grows with each start of the endpoint.
+    /// Increases with each start of the endpoint.
     pub incarnation: u64,
-    /// Share of its capacity in use: 0 idle, 1 full; above 1 overloaded.
+    /// Fraction of capacity in use: 0 is idle, 1 is full, above 1 is overloaded.
     pub load: f32,
-    /// Its name.
+    /// Name of the endpoint.
     pub name: Box<str>,
-    /// Grows with each announcement of one incarnation.
+    /// Increases with each announcement within an incarnation.
     pub sequence: u64,
-    /// Name of the service that it serves.
+    /// Name of the service.
     pub service: Box<str>,
-    /// Requests that it can work on at once.
+    /// Number of requests that it can process concurrently.
     pub slots: u16,
-    /// Whether it takes work.
+    /// Current state.
     pub state: State,
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,34 +1,34 @@
-//! What can go wrong between instances.
+//! Errors in the communication between instances.
 
 use std::io;
 
 use codes::Code;
 use thiserror::Error as ThisError;
 
-/// A failure of a call or datagram between instances.
+/// An error in a connection or datagram between instances.
 #[derive(Debug)]
 #[derive(ThisError)]
 pub enum Error {
-    /// The bytes are not a message of this protocol.
+    /// A message cannot be decoded or encoded.
     #[error("malformed message of {length} bytes: {cause}")]
     Malformed {
-        /// What the decoder reported.
+        /// The codec's error.
         cause: postcard::Error,
-        /// Length of the message in bytes.
+        /// Length of the received message in bytes; 0 if encoding failed.
         length: usize,
     },
-    /// The instance could not be reached.
+    /// No connection to the instance could be established.
     #[error("instance at {address} cannot be reached: {cause}")]
     Unreachable {
-        /// Its inner address.
+        /// Inner address of the instance.
         address: std::net::SocketAddr,
-        /// What the system reported.
+        /// The error of the operating system.
         cause: io::Error,
     },
 }
 
 impl Error {
-    /// The numbered result code.
+    /// The result code of the error.
     pub const fn code(&self) -> Code {
         match self {
             Self::Malformed { .. } => Code::MessageMalformed,
--- a/crates/wire/src/follow.rs
+++ b/crates/wire/src/follow.rs
@@ -1,4 +1,4 @@
-//! How entries follow the stores.
+//! Long polling of the document by followers of a store.
 
 use serde::{
     Deserialize,
@@ -7,40 +7,42 @@
 
 use crate::document::SectionText;
 
-/// What a follower asks for.
+/// A follower's request for a later document.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Follow {
-    /// Whether the revision's number is enough, without what changed.
+    /// Whether to omit the delta and return only the revision.
     pub brief: bool,
-    /// Whether the answer counts as confirmed only if it holds all that was accepted before.
+    /// Whether the reply counts as confirmed only if it includes every edit accepted before the
+    /// request.
     pub fresh: bool,
-    /// Revision that the follower has.
+    /// Revision of the follower's document.
     pub revision: u64,
 }
 
-/// What a store answers.
+/// A store's reply to a follower.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Followed {
-    /// Whether the store was in contact with a quorum lately and, if a fresh answer was asked for,
-    /// has all that was accepted before.
+    /// Whether the store was recently in contact with a quorum and, for a fresh request, has every
+    /// edit accepted before the request.
     pub confirmed: bool,
-    /// What the follower lacks; none if nothing, or if it asked for the number only.
+    /// The changes since the follower's revision; `None` if there are none or if the request is
+    /// brief.
     pub delta: Option<Delta>,
     /// Revision of the store's document.
     pub revision: u64,
 }
 
-/// What changed in a document.
+/// Changes between two revisions of the document.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Delta {
-    /// The sections that changed.
+    /// Sections that were added or changed.
     pub changed: Vec<SectionText>,
-    /// Whether `changed` is the whole document, so that every other section is gone.
+    /// Whether `changed` is the whole document, so that all other sections have been removed.
     pub complete: bool,
-    /// Names of the sections that are gone.
+    /// Names of removed sections.
     pub removed: Vec<Box<str>>,
     /// Revision of the document after the changes.
     pub revision: u64,
--- a/crates/wire/src/handover.rs
+++ b/crates/wire/src/handover.rs
@@ -1,6 +1,7 @@
-//! Datagrams about flows, on the entries' faces towards the fabric.
+//! Datagrams about flows between the fabric listeners of entries.
 //!
-//! They start with a byte that no GRE header without options starts with.
+//! They share a port with GRE-in-UDP packets from the fabric. Their first byte never starts a GRE
+//! header without options.
 
 use std::net::SocketAddr;
 
@@ -11,76 +12,76 @@
 
 use crate::error::Error;
 
-/// First byte of all datagrams about flows.
-const MARK: u8 = 0xb1;
+/// First byte of every datagram about flows.
+const MAGIC: u8 = 0xb1;
 
-/// Second byte of a packet that is handed over.
-const HANDOVER: u8 = 1;
+/// Second byte of a datagram with a handed-over packet.
+const TYPE_HANDOVER: u8 = 1;
 
-/// Second byte of copied flows.
-const COPIES: u8 = 2;
+/// Second byte of a datagram with copied flows.
+const TYPE_COPIES: u8 = 2;
 
-/// Longest header of a packet that is handed over, in bytes.
+/// Maximum length of an encoded [`Handover`] header, in bytes.
 pub const MAX_HANDOVER_BYTES: usize = 128;
 
-/// Entries that a packet was brought to at most.
+/// Maximum number of entries that a packet visits.
 const MAX_VISITED: usize = 10;
 
-/// What the next entry is to do with a packet.
+/// Action of the entry that receives a handed-over packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Task {
-    /// Finds out which endpoint the flow has.
+    /// Look up the endpoint of the flow.
     Ask,
-    /// Remembers the endpoint with that identity.
+    /// Record the endpoint with this identity for the flow and forward the packet.
     Tell(u64),
 }
 
-/// Stands before a packet that one entry hands to another.
+/// Header of a packet that one entry hands over to another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Handover {
-    /// Entries that the packet has passed.
+    /// Number of times that the packet was handed over.
     pub hops: u8,
-    /// Number of entries that were asked.
+    /// Number of valid elements in `visited`.
     pub length: u8,
-    /// Identity of the entry that received it from the fabric.
+    /// Identity of the entry that received the packet from the fabric.
     pub origin: u32,
     /// Whether the packet returns to its origin.
     pub returns: bool,
-    /// Where the origin received it from; answers to the caller go there.
+    /// Address from which the origin received the packet; replies to the client are sent there.
     pub sender: SocketAddr,
-    /// What is to be done.
+    /// Action of the receiving entry.
     pub task: Task,
-    /// Identities of the entries that were asked.
+    /// Identities of the entries that were already queried for the flow.
     pub visited: [u32; MAX_VISITED],
 }
 
 impl Handover {
-    /// Puts the header before a packet.
+    /// Replaces `datagram` with the encoded header, followed by the packet.
     ///
     /// # Errors
     ///
     /// [`Error::Malformed`] if the header cannot be encoded.
     pub fn encode(&self, packet: &[u8], datagram: &mut Vec<u8>) -> Result<(), Error> {
-        let mut room = [0; MAX_HANDOVER_BYTES];
-        let header = postcard::to_slice(self, &mut room)
+        let mut buffer = [0; MAX_HANDOVER_BYTES];
+        let header = postcard::to_slice(self, &mut buffer)
             .map_err(|cause| Error::Malformed { cause, length: 0 })?;
         datagram.clear();
-        datagram.extend_from_slice(&[MARK, HANDOVER]);
+        datagram.extend_from_slice(&[MAGIC, TYPE_HANDOVER]);
         datagram.extend_from_slice(header);
         datagram.extend_from_slice(packet);
         Ok(())
     }
 }
 
-/// Flows of one endpoint.
+/// Flows of one endpoint, copied to another entry.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct CopiedFlows {
     /// Identity of the endpoint.
     pub endpoint: [u8; 8],
-    /// Identities of its flows.
+    /// Identities of the flows.
     pub flows: Vec<[u8; 8]>,
     /// Identity of the endpoint's service.
     pub service: [u8; 8],
@@ -89,33 +90,33 @@
 /// A datagram about flows.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FlowDatagram<'a> {
-    /// Flows whose endpoint another entry knows.
+    /// Flows copied from another entry.
     Copies(Vec<CopiedFlows>),
-    /// A packet that another entry hands over, with its encapsulation.
+    /// A packet handed over by another entry, with its encapsulation.
     Handover(Handover, &'a [u8]),
 }
 
 impl<'a> FlowDatagram<'a> {
-    /// Whether a datagram is one about flows, and not a packet from the fabric.
+    /// Whether a datagram is about flows rather than a packet from the fabric.
     pub fn recognises(datagram: &[u8]) -> bool {
-        datagram.first() == Some(&MARK)
+        datagram.first() == Some(&MAGIC)
     }
 
     /// Decodes a received datagram.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if the bytes are not one whole datagram about flows.
+    /// [`Error::Malformed`] if the bytes are not a valid datagram about flows.
     pub fn decode(datagram: &'a [u8]) -> Result<Self, Error> {
         let malformed = |cause| Error::Malformed {
             cause,
             length: datagram.len(),
         };
         match datagram {
-            [MARK, HANDOVER, rest @ ..] => postcard::take_from_bytes(rest)
+            [MAGIC, TYPE_HANDOVER, rest @ ..] => postcard::take_from_bytes(rest)
                 .map(|(handover, packet)| Self::Handover(handover, packet))
                 .map_err(malformed),
-            [MARK, COPIES, rest @ ..] => postcard::from_bytes(rest)
+            [MAGIC, TYPE_COPIES, rest @ ..] => postcard::from_bytes(rest)
                 .map(Self::Copies)
                 .map_err(malformed),
             _ => Err(malformed(postcard::Error::DeserializeBadEncoding)),
@@ -126,9 +127,9 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if they cannot be encoded.
+    /// [`Error::Malformed`] if the flows cannot be encoded.
     pub fn encode_copies(copies: &[CopiedFlows]) -> Result<Vec<u8>, Error> {
-        let prefix = vec![MARK, COPIES];
+        let prefix = vec![MAGIC, TYPE_COPIES];
         postcard::to_extend(copies, prefix).map_err(|cause| Error::Malformed { cause, length: 0 })
     }
 }
--- a/crates/wire/src/instance.rs
+++ b/crates/wire/src/instance.rs
@@ -1,4 +1,4 @@
-//! Instances as they are described to each other.
+//! Identity and addresses of instances.
 
 use std::net::SocketAddr;
 
@@ -7,34 +7,34 @@
     Serialize, //
 };
 
-/// Where an instance is reached.
+/// Listen addresses of an instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Addresses {
-    /// Operators, announcements, health and metrics.
+    /// HTTP for operators, announcements, health checks and metrics.
     pub admin: SocketAddr,
-    /// Packets from the fabric; entries only.
+    /// GRE-in-UDP packets from the fabric; entries only.
     pub fabric: Option<SocketAddr>,
-    /// Other instances, TCP and UDP.
+    /// TCP and UDP from other instances.
     pub inner: SocketAddr,
-    /// Callers' requests; entries only.
+    /// HTTP/1.1 requests of clients; entries only.
     pub requests: Option<SocketAddr>,
 }
 
-/// An instance, as heartbeats carry it.
+/// An instance, as described in membership messages and status replies.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Instance {
-    /// Where it is reached.
+    /// Listen addresses.
     pub addresses: Addresses,
-    /// Name of its data centre.
+    /// Name of the instance's data centre.
     pub centre: Box<str>,
-    /// Grows with each start of the process.
+    /// Increases with each start of the process.
     pub incarnation: u64,
-    /// Its name.
+    /// Name of the instance.
     pub name: Box<str>,
-    /// Grows with each false suspicion that it refutes.
+    /// Increases with each false suspicion that the instance refutes.
     pub refutation: u32,
-    /// Whether it keeps a replica of the configuration.
+    /// Whether the instance has the role `store`.
     pub store: bool,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! The inner protocol between the system's processes.
+//! The wire protocol between instances.
 //!
-//! This is the only package that knows the bytes between instances: calls over TCP, as a
+//! All encoding between instances is confined to this package: remote calls over TCP, as a
 //! `tarpc` service in `postcard` frames, and single datagrams over UDP.
 
+mod audit;
 mod call;
 mod claim;
 mod client;
@@ -16,12 +17,17 @@
 mod follow;
 mod handover;
 mod instance;
-mod log;
+mod replication;
 mod server;
 mod status;
-mod trail;
 
 pub use crate::{
+    audit::{
+        AUDIT_LINES,
+        AuditLine,
+        AuditQuery,
+        PastVersion, //
+    },
     call::{
         Inner,
         InnerClient,
@@ -77,7 +83,7 @@
         Addresses,
         Instance, //
     },
-    log::{
+    replication::{
         Decision,
         Identity,
         Init,
@@ -99,10 +105,4 @@
         ServiceStatus,
         Status, //
     },
-    trail::{
-        AUDIT_LINES,
-        AuditLine,
-        AuditQuery,
-        PastVersion, //
-    },
 };
--- a/crates/wire/src/log.rs
+++ b/crates/wire/src/replication.rs
@@ -1,4 +1,4 @@
-//! What the stores say to each other, and of each other.
+//! Messages between stores, and the members of their replicated log.
 
 use std::net::SocketAddr;
 
@@ -19,23 +19,23 @@
 pub struct LogMessage {
     /// The sender's inner address.
     pub address: SocketAddr,
-    /// The message in the encoding of the log's own package, which its files share.
+    /// The message, in the encoding that the log's files also use.
     pub bytes: Vec<u8>,
 }
 
-/// What a store says of its data folder.
+/// Identity of a store's data folder.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Identity {
-    /// The log that it belongs to; none before the first start.
+    /// Id of the replicated log that the store belongs to; `None` before its first start.
     pub cluster: Option<u64>,
-    /// Its data folder's id.
+    /// Id of the data folder.
     pub id: u64,
-    /// Its instance's name.
+    /// Name of the instance.
     pub name: Box<str>,
 }
 
-/// A request that only the leader can take.
+/// A request that only the leader can decide.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Proposal {
@@ -43,77 +43,78 @@
     Add(StoreAddress),
     /// Edits a section.
     Edit(Edit),
-    /// Removes the store with that name.
+    /// Removes the store with this name.
     Remove(Box<str>),
 }
 
-/// The leader's answer.
+/// Reply to a proposal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Decision {
     /// The members were changed.
     Changed,
-    /// What became of the edit.
+    /// Outcome of the edit.
     Outcome(Outcome),
-    /// Why there is no answer; the code says whether there may be one yet.
+    /// Code and description of the refusal; the code tells whether the proposal may still take
+    /// effect.
     Refused(Code, Box<str>),
 }
 
-/// Where a store is reached.
+/// Name and address of a store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreAddress {
-    /// Its inner address.
+    /// Inner address of the instance.
     pub inner: SocketAddr,
-    /// Its instance's name.
+    /// Name of the instance.
     pub name: Box<str>,
 }
 
-/// The stores of the first start.
+/// Request to initialise the replicated log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Init {
-    /// The stores, the one that is asked among them.
+    /// The initial stores, including the one that receives the request.
     pub stores: Vec<StoreAddress>,
 }
 
-/// A change of the stores, as operators ask for it.
+/// An operator's request to add or remove a store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberChange {
     /// Adds a store.
     Add(StoreAddress),
-    /// Removes the store with that name.
+    /// Removes the store with this name.
     Remove(Box<str>),
 }
 
-/// One store of the log.
+/// A member of the replicated log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct LogMember {
-    /// Its data folder's id, 16 hexadecimal digits.
+    /// Id of the data folder, as 16 hexadecimal digits.
     pub id: Box<str>,
-    /// Its inner address.
+    /// Inner address of the instance.
     pub inner: SocketAddr,
-    /// Its instance's name.
+    /// Name of the instance.
     pub name: Box<str>,
     /// Whether it counts towards a quorum.
     pub voter: bool,
 }
 
-/// The stores of the log, as one of them knows them.
+/// Members of the replicated log, as seen by one of them.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct LogMembers {
     /// Whether the store was in contact with a quorum within the last election timeout.
     pub confirmed: bool,
-    /// Name of the leader; none while none is known.
+    /// Name of the leader; `None` while it is unknown.
     pub leader: Option<Box<str>>,
-    /// The stores.
+    /// Stores of the log.
     pub members: Vec<LogMember>,
-    /// The term.
+    /// Current term.
     pub term: u64,
 }
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,4 +1,4 @@
-//! The answering side of connections between instances.
+//! Server side of connections between instances.
 
 use std::{
     pin::pin,
@@ -31,12 +31,12 @@
     codec::Postcard, //
 };
 
-/// Time after which a connection without a call is closed.
+/// Time without a call after which a connection is closed.
 ///
-/// Followers ask every few seconds, so that only a peer that is gone or silent lets it pass.
+/// Followers poll every few seconds, so only a disconnected or unresponsive peer exceeds it.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers the calls of one connection until it closes or goes silent.
+/// Serves the calls of one connection until it closes or no call arrives for [`IDLE_TIMEOUT`].
 pub async fn serve<S: Inner + Clone + 'static>(stream: TcpStream, service: S) {
     let io = AsyncStream::new(stream).compat();
     let framed = Framed::new(io, LengthDelimitedCodec::new());
--- a/crates/wire/src/status.rs
+++ b/crates/wire/src/status.rs
@@ -1,4 +1,4 @@
-//! What instances say of their state.
+//! Status of instances and services.
 
 use serde::{
     Deserialize,
@@ -8,92 +8,92 @@
 use crate::{
     datagram::Standing,
     instance::Instance,
-    log::LogMembers, //
+    replication::LogMembers, //
 };
 
-/// How often a result code was given.
+/// Number of refusals with a result code.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Refusals {
-    /// Number of the code.
+    /// Result code.
     pub code: u16,
-    /// How often since the process started.
+    /// Number of refusals since the process started.
     pub count: u64,
 }
 
-/// A service's endpoints as an instance knows them.
+/// Endpoints of a service, as seen by an instance.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct ServiceStatus {
-    /// Endpoints that finish what they have.
+    /// Number of draining endpoints.
     pub draining: u32,
-    /// Connections of the busiest ready endpoint over their mean; 1 if there are none.
+    /// Ratio of the most connections of a ready endpoint to the mean; 1 if there are none.
     pub imbalance: f64,
     /// Name of the service.
     pub name: Box<str>,
-    /// Endpoints that take new work.
+    /// Number of endpoints that accept new work.
     pub ready: u32,
-    /// Ready endpoints that were not confirmed lately and get no new work.
+    /// Number of ready endpoints without a recent confirmation, which get no new work.
     pub stale: u32,
-    /// Endpoints that are not yet ready.
+    /// Number of endpoints that are not yet ready.
     pub starting: u32,
-    /// Endpoints that wait until their address is free.
+    /// Number of endpoints that wait for their address to become free.
     pub waiting: u32,
 }
 
-/// What an instance says of itself and of those that it knows.
+/// Status of an instance, including its view of other instances.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Status {
-    /// Endpoints under a lease.
+    /// Number of endpoints with a valid lease.
     pub endpoints: usize,
-    /// The instance.
+    /// The instance itself.
     pub instance: Instance,
-    /// Other instances that are present.
+    /// Other instances that are alive or suspected.
     pub instances: Vec<Instance>,
-    /// The stores as this one knows them; none from other instances.
+    /// Members of the replicated log; `None` if this instance is not a store.
     pub log: Option<LogMembers>,
-    /// Whether it can serve.
+    /// Whether the instance is ready to serve.
     pub ready: bool,
-    /// Refusals by code.
+    /// Refusals by result code.
     pub refusals: Vec<Refusals>,
     /// Revision of the document in force.
     pub revision: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Services with endpoints.
+    /// Services that have endpoints.
     pub services: Vec<ServiceStatus>,
     /// Whether a planned stop has begun.
     pub stopping: bool,
 }
 
-/// A member with what it answered.
+/// A member with its status reply.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct MemberStatus {
-    /// Name of its data centre.
+    /// Name of the member's data centre.
     pub centre: Box<str>,
-    /// Revisions that it is behind the newest one that was found.
+    /// Number of revisions behind the latest one found.
     pub lag: u64,
-    /// Its name.
+    /// Name of the member.
     pub name: Box<str>,
-    /// What the asked instance knows of its presence.
+    /// Membership state, as seen by the gathering instance.
     pub standing: Standing,
-    /// Its own answer; none if it was silent.
+    /// Status reply; `None` if the member did not answer in time.
     pub status: Option<Status>,
 }
 
-/// What an instance has gathered from all those that it knows.
+/// Status of all known instances, gathered by one of them.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Overview {
-    /// Name of the instance that gathered it.
+    /// Name of the gathering instance.
     pub asked: Box<str>,
-    /// Name of the leading store; none if none is known.
+    /// Name of the leader of the stores; `None` if unknown.
     pub leader: Option<Box<str>>,
-    /// The instances, by data centre and name.
+    /// The instances, ordered by data centre and name.
     pub members: Vec<MemberStatus>,
-    /// The newest revision that was found.
+    /// The latest revision found.
     pub revision: u64,
     /// Names of instances that did not answer in time.
     pub silent: Vec<Box<str>>,
--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -1,4 +1,5 @@
-//! Datagrams between instances survive their codec, and no bytes make it panic.
+//! Datagrams between instances: encoding round trips, and decoding of arbitrary bytes without a
+//! panic.
 
 use codes::Code;
 use mimosausher_wire::{
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn encode_member_same() {
+fn encode_member_round_trip() {
     let address = "127.0.0.1:7203".parse().unwrap();
     for body in [
         Body::Ack(1),
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn encode_batch_same() {
+fn encode_batch_round_trip() {
     let announcement = Announcement {
         address: "127.0.0.1:9000".parse().unwrap(),
         centre: "porto-a".into(),
