--- a/crates/placement/src/endpoint.rs
+++ b/crates/placement/src/endpoint.rs
@@ -31,8 +31,9 @@
 /// have recovered since.
 const UNREACHABLE_TTL: Duration = Duration::from_secs(1);
 
-/// First backoff of an endpoint that did not answer a new flow, during which it gets no other; doubles
-/// with each further failure. As long as a client waits before it sends its second copy.
+/// First backoff of an endpoint that did not answer a new flow, during which it gets no other;
+/// doubles with each further failure. As long as a client waits before it sends a copy of its
+/// opening packet.
 const BACKOFF_MIN: Duration = Duration::from_millis(200);
 
 /// Longest backoff, after which the endpoint gets a new flow as a probe.
@@ -75,18 +76,17 @@
     /// Number by which the endpoint recognises packets addressed to it.
     pub tag: u64,
     /// When its warm-up ends.
-    pub warm_until: Duration,
+    pub warmup_end: Duration,
     /// End of its backoff, and the number of consecutive failures.
     pub(crate) backoff: (Duration, u32),
     /// Load from this entry's own flows.
     pub(crate) own_load: Load,
     /// When a client last acknowledged data from it.
-    pub(crate) progress_at: Option<Duration>,
+    pub(crate) answered_at: Option<Duration>,
     /// Moving mean of the time from a request's last packet to the first byte of its response, in
     /// seconds; none before the first response.
     pub(crate) response_time: Option<f64>,
-    /// When a request last went unanswered although it was sent three times and the endpoint sent
-    /// nothing else in the meantime.
+    /// When a retransmission last showed that it is unreachable (see `record_retransmission`).
     pub(crate) unreachable_at: Option<Duration>,
 }
 
@@ -102,14 +102,14 @@
             name: name.into(),
             own_load: Load::default(),
             phase: Phase::Ready,
-            progress_at: None,
+            answered_at: None,
             reference: Reference::to(name),
             response_time: None,
             service,
             slots: 1,
             tag: 0,
             unreachable_at: None,
-            warm_until: Duration::ZERO,
+            warmup_end: Duration::ZERO,
         }
     }
 
@@ -132,8 +132,8 @@
     }
 
     /// Sets when its warm-up ends.
-    pub const fn with_warm(mut self, warm_until: Duration) -> Self {
-        self.warm_until = warm_until;
+    pub const fn with_warm(mut self, warmup_end: Duration) -> Self {
+        self.warmup_end = warmup_end;
         self
     }
 
@@ -157,7 +157,7 @@
     pub(crate) fn record_answer(&mut self, now: Duration) {
         self.backoff = (Duration::ZERO, 0);
         self.unreachable_at = None;
-        self.progress_at = Some(now);
+        self.answered_at = Some(now);
     }
 
     /// Records the time that it took to begin its response to a request.
@@ -167,11 +167,11 @@
         self.response_time = Some(mean + (time - mean) * RESPONSE_TIME_WEIGHT);
     }
 
-    /// Records a retransmitted request; returns whether the endpoint is unreachable: it has answered
-    /// nothing since the request arrived, and some request was sent three times.
+    /// Records a retransmitted request; returns whether the endpoint is unreachable: it has
+    /// answered nothing since the request arrived, and some request was sent three times.
     pub(crate) fn record_retransmission(&mut self, now: Duration, request: Request) -> bool {
         // The first packet of a request may acknowledge data that the endpoint sent earlier.
-        if self.progress_at.is_some_and(|at| at > request.first_at) {
+        if self.answered_at.is_some_and(|at| at > request.first_at) {
             return false;
         }
         self.record_failure(now);
@@ -204,7 +204,7 @@
 
     /// Whether a client has acknowledged data from it since `then`.
     pub(crate) fn answered_since(&self, then: Duration) -> bool {
-        self.progress_at.is_some_and(|at| at >= then)
+        self.answered_at.is_some_and(|at| at >= then)
     }
 
     /// Whether its backoff has ended.
--- a/crates/placement/src/flow.rs
+++ b/crates/placement/src/flow.rs
@@ -1,4 +1,4 @@
-//! Flow state, tracked by the packets of the client.
+//! Flow state, tracked from the client's packets.
 
 use std::{
     net::SocketAddrV4,
@@ -35,7 +35,7 @@
     /// The endpoint that serves it.
     pub endpoint: EndpointKey,
     /// Whether the endpoint has answered the opening packet.
-    pub open: bool,
+    pub established: bool,
     /// Whether it was recorded as refused by its endpoint.
     pub refused: bool,
     /// The pending request.
@@ -51,7 +51,7 @@
             acknowledged: 0,
             closed: false,
             endpoint,
-            open: false,
+            established: false,
             refused: false,
             request: None,
             seen_at: now,
@@ -59,17 +59,18 @@
     }
 
     /// Marks the opening packet as answered.
-    pub const fn with_open(mut self) -> Self {
-        self.open = true;
+    pub const fn with_established(mut self) -> Self {
+        self.established = true;
         self
     }
 
-    /// Updates the flow and its endpoint from a packet; returns whether the endpoint is unreachable.
+    /// Updates the flow and its endpoint from a packet; returns whether the endpoint is
+    /// unreachable.
     pub fn record(&mut self, now: Duration, endpoint: &mut Endpoint, progress: Progress) -> bool {
         self.seen_at = now;
         self.acknowledged = progress.acknowledged;
-        if !self.open {
-            self.open = true;
+        if !self.established {
+            self.established = true;
             endpoint.record_answer(now);
         }
         self.end_request(now, endpoint, progress);
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -2,10 +2,9 @@
 //!
 //! The packets of a flow carry a [`Reference`] to its endpoint, which both ends echo, so that any
 //! entry can forward them without per-flow state. A [`Pool`] resolves references and selects
-//! endpoints for new flows by load, which it estimates from the packets of clients. It has no clock,
-//! socket or thread: times are passed as arguments and count from the start of the process.
+//! endpoints for new flows by load, which it estimates from the packets of clients. It has no
+//! clock, socket or thread: times are passed as arguments and count from the start of the process.
 
-mod choice;
 mod distance;
 mod endpoint;
 mod flow;
@@ -13,6 +12,7 @@
 mod pool;
 mod reference;
 mod request;
+mod selection;
 
 pub use crate::{
     distance::Distance,
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -11,7 +11,6 @@
 };
 
 use crate::{
-    choice,
     endpoint::{
         Endpoint,
         EndpointKey,
@@ -24,7 +23,8 @@
     },
     load::Load,
     reference::Reference,
-    request::Progress, //
+    request::Progress,
+    selection, //
 };
 
 /// Limit of tracked flows, which bounds the memory that a flood of opening packets can take.
@@ -40,13 +40,13 @@
 /// Time after which an unanswered request no longer counts as pending: its client has given up.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time after an opening packet by which the client has sent a further packet: a copy, or data if the
-/// flow was answered. A client that has sent neither got a reset: the endpoint's instance runs, but
-/// the endpoint does not.
+/// Time after an opening packet by which the client has sent a further packet: a copy, or data if
+/// the flow was answered. A client that has sent neither got a reset: the endpoint's instance runs,
+/// but the endpoint does not.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time without a tick after which the process counts as stalled, and time for which its observations
-/// of endpoints are ignored from then on. A few ticks.
+/// Time without a tick after which the process counts as stalled, and time for which its
+/// observations of endpoints are ignored from then on. A few ticks.
 const STALL_TIME: Duration = Duration::from_secs(1);
 
 /// A weighted service of a route.
@@ -96,7 +96,8 @@
         self.service_names.get(key).map(|name| &**name)
     }
 
-    /// Inserts or updates an endpoint. Its observed load and health are kept unless it has restarted.
+    /// Inserts or updates an endpoint. Its observed load and health are kept unless it has
+    /// restarted.
     pub fn update(&mut self, endpoint: Endpoint) {
         match self.names.get(&endpoint.name).copied() {
             Some(key) => self.replace(key, endpoint),
@@ -123,7 +124,8 @@
 
     /// Selects an endpoint for the opening packet of a flow, or for a copy of it.
     ///
-    /// A copy means that the endpoint did not answer the previous packet, so another one is preferred.
+    /// A copy means that the endpoint did not answer the previous packet, so another one is
+    /// preferred.
     ///
     /// # Errors
     ///
@@ -135,7 +137,11 @@
         targets: &[Target],
         random: &mut impl Rng,
     ) -> Result<EndpointKey, Code> {
-        let former = self.flows.get(&flow).copied().filter(|known| !known.open);
+        let former = self
+            .flows
+            .get(&flow)
+            .copied()
+            .filter(|known| !known.established);
         if let Some(former) = former {
             self.remove_flow(&flow);
             if let Some(endpoint) = self.endpoints.get_mut(former.endpoint) {
@@ -144,7 +150,7 @@
         }
         let excluded = former.map(|former| former.endpoint);
         let key = self
-            .choose(now, targets, excluded, random)
+            .select(now, targets, excluded, random)
             .ok_or(Code::FlowNoEndpoint)?;
         self.remove_flow(&flow);
         self.insert_flow(flow, Flow::new(now, key));
@@ -156,8 +162,8 @@
     /// # Errors
     ///
     /// [`Code::FlowUnknown`] if the packet has no reference or an unknown one,
-    /// [`Code::FlowEndpointGone`] if the endpoint has left, [`Code::FlowEndpointUnreachable`] if it is
-    /// unreachable while a request is pending that may be retried (`repeatable`).
+    /// [`Code::FlowEndpointGone`] if the endpoint has left, [`Code::FlowEndpointUnreachable`] if it
+    /// is unreachable while a request is pending that may be retried (`repeatable`).
     pub fn lookup(
         &mut self,
         now: Duration,
@@ -205,8 +211,8 @@
         }
     }
 
-    /// Whether this process was stalled recently: packets queued up meanwhile, so their timing shows
-    /// nothing about endpoints.
+    /// Whether this process was stalled recently: packets queued up meanwhile, so their timing
+    /// shows nothing about endpoints.
     fn stalled(&mut self, now: Duration) -> bool {
         if now.saturating_sub(self.ticked_at) > STALL_TIME {
             self.stalled_until = now + STALL_TIME;
@@ -221,9 +227,9 @@
         }
     }
 
-    /// Removes idle flows whose endpoint has left or is unreachable, and returns them with their last
-    /// acknowledgement numbers so that they can be reset: a client whose flow was reset sends its
-    /// next request on another one. Flows with a pending request are kept.
+    /// Removes idle flows whose endpoint has left or is unreachable, and returns them with their
+    /// last acknowledgement numbers so that they can be reset: a client whose flow was reset sends
+    /// its next request on another one. Flows with a pending request are kept.
     pub fn orphans(&mut self, now: Duration) -> Vec<(FlowKey, u32)> {
         if self.stalled(now) {
             return Vec::new();
@@ -238,7 +244,7 @@
                 endpoint.phase == Phase::Gone || unreachable_since
             })
         };
-        let idle = |flow: &Flow| flow.open && !flow.closed && flow.request.is_none();
+        let idle = |flow: &Flow| flow.established && !flow.closed && flow.request.is_none();
         let flows = self
             .flows
             .iter()
@@ -256,7 +262,7 @@
         let endpoints = &mut self.endpoints;
         for flow in self.flows.values_mut() {
             let overdue = now.saturating_sub(flow.seen_at) >= ANSWER_TIMEOUT;
-            if flow.open || flow.closed || flow.refused || !overdue {
+            if flow.established || flow.closed || flow.refused || !overdue {
                 continue;
             }
             flow.refused = true;
@@ -279,7 +285,7 @@
             .flows
             .iter()
             .filter(|(_, flow)| {
-                let timeout = match flow.closed || !flow.open {
+                let timeout = match flow.closed || !flow.established {
                     true => CLOSED_TIMEOUT,
                     false => IDLE_TIMEOUT,
                 };
@@ -302,7 +308,7 @@
         }
     }
 
-    fn choose(
+    fn select(
         &self,
         now: Duration,
         targets: &[Target],
@@ -319,10 +325,10 @@
         let (before, rest) = targets.split_at(first);
         let in_order = rest.iter().chain(before);
         let mut usable = in_order.filter(|target| target.weight > 0);
-        usable.find_map(|target| self.choose_from_service(now, target.service, excluded, random))
+        usable.find_map(|target| self.select_from_service(now, target.service, excluded, random))
     }
 
-    fn choose_from_service(
+    fn select_from_service(
         &self,
         now: Duration,
         service: ServiceKey,
@@ -337,7 +343,8 @@
             known.filter(|(key, endpoint)| self.references.get(&endpoint.reference) == Some(key))
         };
         let others = candidates().filter(|(key, _)| Some(*key) != excluded);
-        choice::choose(now, others, random).or_else(|| choice::choose(now, candidates(), random))
+        selection::select(now, others, random)
+            .or_else(|| selection::select(now, candidates(), random))
     }
 
     fn insert(&mut self, endpoint: Endpoint) {
@@ -352,27 +359,27 @@
     }
 
     fn replace(&mut self, key: EndpointKey, endpoint: Endpoint) {
-        let Some(held) = self.endpoints.get_mut(key) else {
+        let Some(existing) = self.endpoints.get_mut(key) else {
             return;
         };
-        let restarted = held.incarnation != endpoint.incarnation;
-        let former = held.service;
+        let restarted = existing.incarnation != endpoint.incarnation;
+        let former = existing.service;
         let service = endpoint.service;
-        *held = Endpoint {
-            backoff: held.backoff,
-            unreachable_at: held.unreachable_at,
-            progress_at: held.progress_at,
-            response_time: held.response_time,
-            external_load: held.external_load,
-            own_load: held.own_load,
+        *existing = Endpoint {
+            backoff: existing.backoff,
+            unreachable_at: existing.unreachable_at,
+            answered_at: existing.answered_at,
+            response_time: existing.response_time,
+            external_load: existing.external_load,
+            own_load: existing.own_load,
             ..endpoint
         };
         if restarted {
-            held.backoff = (Duration::ZERO, 0);
-            held.unreachable_at = None;
-            held.progress_at = None;
-            held.response_time = None;
-            held.own_load = Load::default();
+            existing.backoff = (Duration::ZERO, 0);
+            existing.unreachable_at = None;
+            existing.answered_at = None;
+            existing.response_time = None;
+            existing.own_load = Load::default();
             self.flows.retain(|_, flow| flow.endpoint != key);
         }
         if former != service {
@@ -427,10 +434,10 @@
         endpoint: EndpointKey,
         progress: Progress,
     ) -> bool {
-        let held = self.flows.get(&key);
-        if held.is_none_or(|flow| flow.endpoint != endpoint) {
+        let tracked = self.flows.get(&key);
+        if tracked.is_none_or(|flow| flow.endpoint != endpoint) {
             self.remove_flow(&key);
-            self.insert_flow(key, Flow::new(now, endpoint).with_open());
+            self.insert_flow(key, Flow::new(now, endpoint).with_established());
         }
         match (self.flows.get_mut(&key), self.endpoints.get_mut(endpoint)) {
             (Some(flow), Some(endpoint)) => flow.record(now, endpoint, progress),
--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -1,9 +1,10 @@
-//! A pending request, tracked by the packets of its client.
+//! A pending request, tracked from the packets of its client.
 
 use std::time::Duration;
 
-/// Shortest retransmission interval: a copy that arrives sooner was delayed in the network.
-const RESEND_MIN: Duration = Duration::from_millis(150);
+/// Shortest retransmission interval: a repeated packet that arrives sooner was delayed in the
+/// network.
+const RETRANSMISSION_MIN: Duration = Duration::from_millis(150);
 
 /// Sequence state of a flow, read from a packet of its client.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -53,7 +54,7 @@
             self.last_at = now;
             return false;
         }
-        if now.saturating_sub(self.last_at) < RESEND_MIN {
+        if now.saturating_sub(self.last_at) < RETRANSMISSION_MIN {
             return false;
         }
         self.last_at = now;
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/selection.rs
@@ -15,8 +15,8 @@
     },
 };
 
-/// Cost of an open flow without a pending request, in requests. Most flows are idle most of the time;
-/// a larger cost pushes new flows out of the data centre (docs/design/platform.md).
+/// Cost of an open flow without a pending request, in requests. Most flows are idle most of the
+/// time; a larger cost pushes new flows out of the data centre (docs/design/platform.md).
 const FLOW_COST: f64 = 0.04;
 
 /// Cost of a hop to another data centre, in requests per slot: the hop is short compared with the
@@ -24,20 +24,21 @@
 /// (docs/design/platform.md).
 const CENTRE_HOP_COST: f64 = 2.0;
 
-/// Cost of a hop to another region, in requests per slot: it takes tens of milliseconds, as long as a
-/// request, and pays off only if the endpoints of the local region have long queues.
+/// Cost of a hop to another region, in requests per slot: it takes tens of milliseconds, as long as
+/// a request, and pays off only if the endpoints of the local region have long queues.
 const REGION_HOP_COST: f64 = 4.0;
 
-/// Speed of an endpoint that is warming up, relative to a warm one. Endpoints announce how long they
-/// stay slow, not how slow they are; while warming up, a request commonly takes half as long again.
+/// Speed of an endpoint that is warming up, relative to a warm one. Endpoints announce how long
+/// they stay slow, not how slow they are; while warming up, a request commonly takes one and a half
+/// times as long.
 const COLD_SPEED: f64 = 0.6;
 
 /// Lower bound of an endpoint's speed relative to the other endpoints of its service: below it, the
 /// mean of a few requests is too noisy.
 const MIN_SPEED: f64 = 0.2;
 
-/// Endpoints sampled at each distance for each new flow: two give most of the gain, four select better
-/// among the few endpoints of a small data centre.
+/// Endpoints sampled at each distance for each new flow: two give most of the gain, four select
+/// better among the few endpoints of a small data centre.
 const SAMPLE_SIZE: usize = 4;
 
 /// Suitability of an endpoint for a new flow, best first.
@@ -61,11 +62,12 @@
     }
 }
 
-/// Expected queue length of one more flow at an endpoint, in requests per slot.
+/// Expected queue length at an endpoint with one more flow, plus the cost of the hop to it, in
+/// requests per slot.
 fn cost(now: Duration, endpoint: &Endpoint, mean_response_time: f64) -> f64 {
     let load = endpoint.load();
     let speed = match endpoint.response_time {
-        _ if now < endpoint.warm_until => COLD_SPEED,
+        _ if now < endpoint.warmup_end => COLD_SPEED,
         Some(response_time) => (mean_response_time / response_time).clamp(MIN_SPEED, 1.0),
         None => 1.0,
     };
@@ -80,9 +82,10 @@
 
 /// Selects the endpoint with the least cost from a random sample of the best tier.
 ///
-/// Entries learn of each other's flows with a delay, so an endpoint that looks idle to all of them must
-/// not get all their new flows. Sampling a few endpoints keeps most of the gain of comparing all.
-pub(crate) fn choose<'a, K: Copy>(
+/// Entries learn of each other's flows with a delay, so an endpoint that looks idle to all of them
+/// must not get all their new flows. Sampling a few endpoints keeps most of the gain of comparing
+/// all.
+pub(crate) fn select<'a, K: Copy>(
     now: Duration,
     candidates: impl Iterator<Item = (K, &'a Endpoint)>,
     random: &mut impl Rng,
--- a/crates/placement/tests/load.rs
+++ b/crates/placement/tests/load.rs
@@ -32,7 +32,8 @@
 }
 
 impl Entries {
-    /// Creates entries with the same endpoints: `local` ones in their data centre, the rest elsewhere.
+    /// Creates entries with the same endpoints: `local` ones in their data centre, the rest in
+    /// another one of the region.
     fn new(count: u64, local: u8, remote: u8) -> Self {
         let mut entries = Vec::new();
         let mut targets = Vec::new();
@@ -127,8 +128,9 @@
     assert!((0..4).all(|number| !entries.placed.contains_key(format!("i-{number}").as_str())));
 }
 
-/// Several regions, with one data centre of the local region overloaded: flows overflow to the other data
-/// centre of the region, and to another region only once that data centre has long queues too.
+/// Several regions, with one data centre of the local region overloaded: flows overflow to the
+/// other data centre of the region, and to another region only once that data centre has long
+/// queues too.
 #[test]
 fn open_overloaded_region() {
     for (queued, expected) in [(1, Distance::Region), (6, Distance::Far)] {
@@ -156,15 +158,16 @@
         }
         let (pool, _) = &entries.entries[0];
         let mut endpoints = pool.iter();
-        let placed = endpoints.all(|endpoint| {
+        let as_expected = endpoints.all(|endpoint| {
             endpoint.distance == expected || !entries.placed.contains_key(&endpoint.name)
         });
-        assert!(placed, "{queued}: {:?}", entries.placed);
+        assert!(as_expected, "{queued}: {:?}", entries.placed);
     }
 }
 
-/// An endpoint has ended, and its instance resets each opening packet at once. The endpoint looks idle
-/// and its clients reconnect at once: within a second, most attempts must go to other endpoints.
+/// An endpoint has ended, and its instance resets each opening packet at once. The endpoint looks
+/// idle and its clients reconnect at once: within a second, most attempts must go to other
+/// endpoints.
 #[test]
 fn open_endpoint_that_resets_at_once() {
     let mut entries = Entries::new(1, 4, 0);
--- a/crates/placement/tests/pool.rs
+++ b/crates/placement/tests/pool.rs
@@ -131,12 +131,12 @@
 #[test]
 fn lookup_draining_endpoint() {
     let mut harness = Harness::new(2);
-    let held = harness
+    let endpoint = harness
         .pool
         .iter()
-        .find(|held| &*held.name == "i-0")
+        .find(|endpoint| &*endpoint.name == "i-0")
         .unwrap();
-    let draining = held.clone().with_phase(Phase::Draining);
+    let draining = endpoint.clone().with_phase(Phase::Draining);
     harness.pool.update(draining);
     assert_eq!(harness.lookup(ms(0), 1, "i-0", REQUEST), Ok(()));
     for port in 2..20 {
@@ -148,12 +148,12 @@
 #[test]
 fn lookup_gone_endpoint() {
     let mut harness = Harness::new(2);
-    let held = harness
+    let endpoint = harness
         .pool
         .iter()
-        .find(|held| &*held.name == "i-0")
+        .find(|endpoint| &*endpoint.name == "i-0")
         .unwrap();
-    let gone = held.clone().with_phase(Phase::Gone);
+    let gone = endpoint.clone().with_phase(Phase::Gone);
     harness.pool.update(gone);
     assert_eq!(
         harness.lookup(ms(0), 1, "i-0", REQUEST),
@@ -275,8 +275,8 @@
     }
 }
 
-/// Idle flows to an unreachable endpoint are reset before their clients send the next request, which may
-/// be one that must run at most once.
+/// Idle flows to an unreachable endpoint are reset before their clients send the next request,
+/// which may be one that must run at most once.
 #[test]
 fn orphans_unreachable_endpoint() {
     let mut harness = Harness::new(2);
@@ -308,8 +308,9 @@
     assert!(harness.pool.orphans(ms(1_700)).is_empty());
 }
 
-/// A partition has healed, but no client of this entry has used the endpoint since. Packets of a flow
-/// that moves to this entry later, one of them lost, must not count as evidence of the partition.
+/// A partition has healed, but no client of this entry has used the endpoint since. Packets of a
+/// flow that moves to this entry later, one of them lost, must not count as evidence of the
+/// partition.
 #[test]
 fn orphans_long_after_partition() {
     let mut harness = Harness::new(2);
@@ -348,12 +349,12 @@
     let mut harness = Harness::new(2);
     harness.lookup(ms(0), 1, "i-0", REQUEST).unwrap();
     harness.lookup(ms(50), 1, "i-0", ANSWERED).unwrap();
-    let held = harness
+    let endpoint = harness
         .pool
         .iter()
-        .find(|held| &*held.name == "i-0")
+        .find(|endpoint| &*endpoint.name == "i-0")
         .unwrap();
-    let draining = held.clone().with_phase(Phase::Draining);
+    let draining = endpoint.clone().with_phase(Phase::Draining);
     harness.pool.update(draining.clone());
     assert!(harness.pool.orphans(ms(100)).is_empty());
     harness.pool.update(draining.with_phase(Phase::Gone));
@@ -386,7 +387,7 @@
 }
 
 #[test]
-fn open_exact_weights() {
+fn open_weighted_services() {
     let mut harness = Harness::new(3);
     let service = harness.pool.service("t");
     let address = "10.0.1.1:80".parse().unwrap();
@@ -426,24 +427,27 @@
 fn update_restarted_endpoint() {
     let mut harness = Harness::new(2);
     harness.lookup(ms(0), 1, "i-0", REQUEST).unwrap();
-    let held = harness
+    let endpoint = harness
         .pool
         .iter()
-        .find(|held| &*held.name == "i-0")
+        .find(|endpoint| &*endpoint.name == "i-0")
         .unwrap();
-    let mut restarted = held.clone();
+    let mut restarted = endpoint.clone();
     restarted.incarnation += 1;
     harness.pool.update(restarted);
-    let held = harness
+    let endpoint = harness
         .pool
         .iter()
-        .find(|held| &*held.name == "i-0")
+        .find(|endpoint| &*endpoint.name == "i-0")
         .unwrap();
-    assert_eq!((held.own_load().busy, held.own_load().flows), (0, 0));
+    assert_eq!(
+        (endpoint.own_load().busy, endpoint.own_load().flows),
+        (0, 0)
+    );
 }
 
-/// Two endpoint names hash to the same reference: on every entry, the endpoint that started first gets
-/// it, and the other gets no flow, since its packets could reach the wrong endpoint.
+/// Two endpoint names hash to the same reference: on every entry, the endpoint that started first
+/// gets it, and the other gets no flow, since its packets could reach the wrong endpoint.
 #[test]
 fn open_shared_reference() {
     let mut seen = HashMap::new();
--- a/crates/placement/tests/resets.rs
+++ b/crates/placement/tests/resets.rs
@@ -33,14 +33,15 @@
 const RANDOM_SEQUENCES: u32 = 5_000;
 const RANDOM_LENGTH: usize = 60;
 
-/// Time for which a fault of an endpoint or its network path justifies a reset: the users' limit.
+/// Time for which a fault of an endpoint or its network path justifies a reset: a limit set by the
+/// users.
 const FAULT_LIMIT: Duration = Duration::from_secs(4);
 
 /// Time after which a client first retransmits an unacknowledged packet.
-const RESEND_MIN: Duration = Duration::from_millis(200);
+const RETRANSMISSION_MIN: Duration = Duration::from_millis(200);
 
 /// Longest retransmission interval.
-const RESEND_MAX: Duration = Duration::from_millis(1_600);
+const RETRANSMISSION_MAX: Duration = Duration::from_millis(1_600);
 
 /// An event in a sequence.
 #[derive(Clone, Copy, Debug)]
@@ -137,8 +138,8 @@
         self.gone || self.unreachable_at.is_some_and(recent)
     }
 
-    /// Applies an event; returns false if it cannot occur in this state, and the violated property as an
-    /// error.
+    /// Applies an event; returns false if it cannot occur in this state, and the violated property
+    /// as an error.
     fn apply(&mut self, event: Event) -> Result<bool, &'static str> {
         match event {
             Event::Acknowledge(number) => {
@@ -147,7 +148,7 @@
                     return Ok(false);
                 }
                 client.acknowledged = client.received;
-                self.pass(number, 0)?;
+                self.forward(number, 0)?;
             }
             Event::Unreachable(unreachable) if unreachable == self.unreachable || self.gone => {
                 return Ok(false);
@@ -175,7 +176,7 @@
         let (now, lost) = (self.now, self.unreachable || self.gone);
         let client = &mut self.clients[number];
         match client.pending_since {
-            Some(at) if now.saturating_sub(at) < RESEND_MIN => return Ok(false),
+            Some(at) if now.saturating_sub(at) < RETRANSMISSION_MIN => return Ok(false),
             Some(_) => {}
             None => client.sequence += 1,
         }
@@ -186,7 +187,7 @@
             client.received += 1;
         }
         if through_entry {
-            self.pass(number, 10)?;
+            self.forward(number, 10)?;
         }
         Ok(true)
     }
@@ -198,7 +199,7 @@
             .clients
             .iter()
             .filter_map(|client| client.pending_since);
-        pending.any(|at| then.saturating_sub(at) > RESEND_MAX)
+        pending.any(|at| then.saturating_sub(at) > RETRANSMISSION_MAX)
     }
 
     fn wait(&mut self, millis: u64) -> Result<(), &'static str> {
@@ -217,7 +218,7 @@
         Ok(())
     }
 
-    fn pass(&mut self, number: usize, length: u16) -> Result<(), &'static str> {
+    fn forward(&mut self, number: usize, length: u16) -> Result<(), &'static str> {
         let client = self.clients[number];
         let progress = Progress {
             acknowledged: client.acknowledged,
@@ -226,10 +227,10 @@
             sequence: client.sequence,
         };
         let reference = Some(Reference::to("i-1"));
-        let passed = self
+        let found = self
             .pool
             .lookup(self.now, flow(number), reference, progress, true);
-        match passed.map(|key| self.pool.get(key).map(|endpoint| &*endpoint.name)) {
+        match found.map(|key| self.pool.get(key).map(|endpoint| &*endpoint.name)) {
             Ok(Some("i-1")) => Ok(()),
             Ok(_) => Err("a packet was forwarded to another endpoint"),
             Err(_) if self.justified() => Ok(()),
