--- a/crates/edge/src/adapter.rs
+++ b/crates/edge/src/adapter.rs
@@ -22,7 +22,7 @@
 /// The kind of a client's packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// It belongs to an open flow.
+    /// It belongs to an established flow.
     Later,
     /// It opens a flow; the number counts the copies that the client sent before it.
     Open(u32),
@@ -80,8 +80,8 @@
     /// Encodes the datagram that resets the flow of a packet.
     fn reset(packet: &Packet, out: &mut Vec<u8>);
 
-    /// The number by which the endpoint named `name` recognises packets addressed to it; none if this
-    /// is not a valid name of an endpoint.
+    /// The number by which the endpoint named `name` recognises packets addressed to it; none if
+    /// this is not a valid name of an endpoint.
     fn tag(name: &str) -> Option<u64>;
 
     /// Decodes and checks an operator's document.
--- a/crates/edge/src/backoff.rs
+++ b/crates/edge/src/backoff.rs
@@ -2,23 +2,23 @@
 
 use std::time::Duration;
 
-/// First connect timeout: several round trips between two data centres of one region. Packets sent to
-/// a machine that was down are lost, so a new attempt is better than a longer wait.
+/// First connect timeout: several round trips between two data centres of one region. Packets sent
+/// to a machine that was down are lost, so a new attempt is better than a longer wait.
 const CONNECT_TIMEOUT_MIN: Duration = Duration::from_millis(100);
 
 /// Longest connect timeout: also enough for a congested link between two regions.
 const CONNECT_TIMEOUT_MAX: Duration = Duration::from_millis(1_600);
 
-/// Pause between the quick attempts of a process that has just started: as short as the startup of a
-/// store.
+/// Pause between the quick attempts of a process that has just started: as short as the startup of
+/// a store.
 const QUICK_PAUSE: Duration = Duration::from_millis(10);
 
-/// Quick attempts after a start, about three seconds: the stores may have lost power too, and restart
-/// one by one.
+/// Quick attempts after a start, about three seconds: the stores may have lost power too, and
+/// restart one by one.
 const QUICK_ATTEMPTS: u32 = 30;
 
 /// Instances that a quick attempt connects to at once: about as many as there are seeds.
-const QUICK_WIDTH: usize = 3;
+const QUICK_PARALLELISM: usize = 3;
 
 /// First pause between attempts.
 const PAUSE_MIN: Duration = Duration::from_millis(50);
@@ -49,10 +49,10 @@
     }
 
     /// Number of instances that the next attempt connects to at once.
-    pub const fn width(self) -> usize {
+    pub const fn parallelism(self) -> usize {
         match self.quick {
             0 => 1,
-            _ => QUICK_WIDTH,
+            _ => QUICK_PARALLELISM,
         }
     }
 
--- a/crates/edge/src/control.rs
+++ b/crates/edge/src/control.rs
@@ -172,8 +172,8 @@
     wait_for_copies(state).await
 }
 
-/// Waits until enough other stores have acknowledged all changes: they then survive the tolerated loss
-/// of stores, including this one, and the loss of this data centre.
+/// Waits until enough other stores have acknowledged all changes: they then survive the tolerated
+/// loss of stores, including this one, and the loss of this data centre.
 async fn wait_for_copies(state: &StoreState) -> Result<Reply, Refusal> {
     let change = state.registry.borrow().count();
     let deadline = state.clock.now() + CALL_TIMEOUT;
@@ -225,7 +225,9 @@
         Submission::Answered(Answer::Current) => {
             let replica = state.replica.borrow();
             match replica.ledger().published() {
-                Some(held) => Ok(Reply::Document(Bytes::copy_from_slice(&held.bytes))),
+                Some(publication) => {
+                    Ok(Reply::Document(Bytes::copy_from_slice(&publication.bytes)))
+                }
                 None => Err((Code::NoLeader, "nothing was published yet".into())),
             }
         }
--- a/crates/edge/src/decisions.rs
+++ b/crates/edge/src/decisions.rs
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Records the endpoint selected for a new flow, and the state that the selection used.
+    /// Records the endpoint selected for an opening packet, and the state that the selection used.
+    /// Other packets are ignored.
     pub fn record_placement(&self, packet: &Packet, endpoint: &Endpoint, version: u64) {
         let Kind::Open(copy) = packet.kind else {
             return;
--- a/crates/edge/src/document_file.rs
+++ b/crates/edge/src/document_file.rs
@@ -1,5 +1,6 @@
-//! The document in force, cached on a store's disk. After a restart, a store learns which of the last
-//! entries of its log are committed only from a quorum; it can send this document to entries sooner.
+//! The document in force, cached on a store's disk. After a restart, a store needs a quorum to
+//! determine which of the last entries of its log are committed; it can send this document to
+//! entries sooner.
 
 use std::{
     path::Path,
@@ -16,8 +17,8 @@
 /// Name of the file in the data folder.
 const FILE: &str = "document";
 
-/// Interval of checks for a document to write: documents may arrive in quick succession, and each write
-/// takes two syncs.
+/// Interval of checks for a document to write: documents may arrive in quick succession, and each
+/// write takes two syncs.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Reads the document that was in force shortly before the process ended; none if there is no file.
--- a/crates/edge/src/endpoint_file.rs
+++ b/crates/edge/src/endpoint_file.rs
@@ -1,5 +1,5 @@
-//! The announcement records, cached on a store's disk: after a power loss of all stores, the endpoints are
-//! available before they announce themselves again.
+//! The announcement records, cached on a store's disk: after a power loss of all stores, the
+//! endpoints are available before they announce themselves again.
 
 use std::{
     path::Path,
--- a/crates/edge/src/entry.rs
+++ b/crates/edge/src/entry.rs
@@ -23,8 +23,8 @@
     view::View, //
 };
 
-/// Time beyond the heartbeat interval after which an entry that has started has received each endpoint
-/// that is known to any store.
+/// Margin beyond the heartbeat interval after which a started entry has received each endpoint
+/// known to any store.
 const LEARNING_MARGIN: Duration = Duration::from_secs(1);
 
 /// State shared by the tasks of an entry. No borrow is held across an await.
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -30,7 +30,7 @@
         Receiver,
         Sender,
         connect,
-        frames, //
+        split_frames, //
     },
     message::{
         Hello,
@@ -58,7 +58,8 @@
 }
 
 impl Stores {
-    /// Samples up to `count` stores that are not followed yet, without the last one if there are others.
+    /// Samples up to `count` stores that are not followed yet, excluding the last followed one
+    /// if there are others.
     fn sample(
         &self,
         seeds: &[SocketAddrV4],
@@ -95,7 +96,7 @@
     let mut staleness = Staleness::default();
     loop {
         let seeds = entry.seeds.borrow().clone();
-        let candidates = stores.borrow().sample(&seeds, last, backoff.width());
+        let candidates = stores.borrow().sample(&seeds, last, backoff.parallelism());
         if candidates.is_empty() {
             compio::time::sleep(NO_STORE_PAUSE).await;
             continue;
@@ -142,15 +143,15 @@
 
 /// Reserves a store for a slot; returns false if another slot follows it.
 fn reserve(stores: &RefCell<Stores>, slot: usize, address: SocketAddrV4) -> bool {
-    let reserved = {
+    let taken = {
         let stores = stores.borrow();
         let mut others = stores.followed.iter().enumerate();
         others.any(|(other, followed)| other != slot && *followed == Some(address))
     };
-    if !reserved {
+    if !taken {
         set_followed(stores, slot, Some(address));
     }
-    !reserved
+    !taken
 }
 
 fn set_followed(stores: &RefCell<Stores>, slot: usize, address: Option<SocketAddrV4>) {
@@ -167,7 +168,7 @@
     stream: TcpStream,
     staleness: &mut Staleness,
 ) -> io::Result<Infallible> {
-    let (mut sender, receiver) = frames::<Hello, Push>(stream);
+    let (mut sender, receiver) = split_frames::<Hello, Push>(stream);
     let hello = Hello::Entry {
         name: entry.settings.name.clone(),
         version: entry.view.borrow().version(),
@@ -207,7 +208,8 @@
     }
 }
 
-/// Sends load reports to the store in slot [`LOAD_SLOT`], and empty ones as keepalives to the others.
+/// Sends load reports to the store in slot [`LOAD_SLOT`], and empty ones as keepalives to the
+/// others.
 async fn send_reports(
     entry: &Entry,
     slot: usize,
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -33,7 +33,8 @@
 
 /// Forwards packets until the process ends.
 ///
-/// One wait for the socket covers all datagrams that have arrived by then; each takes two system calls.
+/// One wait for the socket covers all datagrams that have arrived by then; each takes two system
+/// calls.
 pub async fn forward<B: Border>(entry: Rc<Entry>, socket: Rc<PollFd<UdpSocket>>, port: u16) {
     let mut buffer = [0; DATAGRAM_BYTES];
     let mut out = Vec::with_capacity(DATAGRAM_BYTES);
--- a/crates/edge/src/frames.rs
+++ b/crates/edge/src/frames.rs
@@ -34,8 +34,8 @@
     },
 };
 
-/// Time without a received frame, or without progress in sending, after which a connection is closed: a
-/// few keepalive intervals.
+/// Time without a received frame, or without progress in sending, after which a connection is
+/// closed: a few keepalive intervals.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_700);
 
 /// Largest frame, in bytes: a document of several thousand routes.
@@ -69,7 +69,7 @@
 }
 
 /// Splits a connection into two streams of typed frames.
-pub fn frames<S, R>(stream: TcpStream) -> (Sender<S>, Receiver<R>) {
+pub fn split_frames<S, R>(stream: TcpStream) -> (Sender<S>, Receiver<R>) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("cannot set TCP_NODELAY: {error}");
     }
--- a/crates/edge/src/internal_server.rs
+++ b/crates/edge/src/internal_server.rs
@@ -32,7 +32,7 @@
     frames::{
         Receiver,
         Sender,
-        frames, //
+        split_frames, //
     },
     links,
     load_delta::LoadDelta,
@@ -68,7 +68,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                spawn(answer(state.clone(), stream, peer)).detach();
+                spawn(serve_connection(state.clone(), stream, peer)).detach();
             }
             Err(error) => {
                 log::warn!("cannot accept a connection: {error}");
@@ -78,8 +78,8 @@
     }
 }
 
-async fn answer(state: Rc<StoreState>, stream: TcpStream, peer: SocketAddr) {
-    let (sender, mut receiver) = frames::<GossipAck, Hello>(stream);
+async fn serve_connection(state: Rc<StoreState>, stream: TcpStream, peer: SocketAddr) {
+    let (sender, mut receiver) = split_frames::<GossipAck, Hello>(stream);
     let result = match receiver.next().await {
         Ok(Hello::Entry { name, version }) => {
             serve_entry(&state, &name, version, sender.retype(), receiver.retype()).await
@@ -117,7 +117,7 @@
 ) -> io::Result<()> {
     let mut sent = 0;
     let mut stores = Vec::new();
-    let mut confirmed = false;
+    let mut was_current = false;
     let mut delta = LoadDelta::default();
     let mut next_keepalive = Duration::ZERO;
     loop {
@@ -128,7 +128,7 @@
         let document = document.filter(|document| document.version > version);
         let records = state.registry.borrow().changed(now, sent);
         let current = state.replica.borrow().raft().current(now);
-        let regained = current && !confirmed;
+        let regained = current && !was_current;
         if document.is_some() || !records.is_empty() || regained || now >= next_keepalive {
             sent = state.registry.borrow().count();
             version = document
@@ -148,7 +148,7 @@
             for frame in chunks(last) {
                 sender.send(&frame).await?;
             }
-            confirmed = current;
+            was_current = current;
             stores = known;
             next_keepalive = now + KEEPALIVE_INTERVAL;
         }
@@ -159,8 +159,8 @@
     }
 }
 
-/// Splits a push into frames that a slow link can carry within the timeout of the connection. Only the
-/// last one may mark the store as up to date.
+/// Splits a push into frames that a slow link can carry within the timeout of the connection. Only
+/// the last one may mark the store as up to date.
 fn chunks(mut last: Push) -> Vec<Push> {
     let mut frames = Vec::new();
     while last.records.len() > CHUNK_RECORDS {
@@ -212,7 +212,7 @@
     links::connect_stores(state, [address]);
     let located = Event::Locate(member.name.clone(), centre.clone());
     state.replica.borrow_mut().push(located);
-    state.peers.borrow_mut().accepted(address, centre);
+    state.peers.borrow_mut().record_accepted(address, centre);
     let mut table = LoadTable::default();
     loop {
         let mut gossip = receiver.next().await?;
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,8 +1,9 @@
 //! Entries and stores of a deployment whose flows carry a reference to their endpoint.
 //!
-//! A [`Border`] implements the protocol of a platform, on which nothing else here depends. All tasks of
-//! a process run on one thread. The logic is in the state machines of the packages `announcements`,
-//! `placement` and `store`; this package connects them to the sockets, the disk and the clock.
+//! A [`Border`] implements the protocol of a platform, on which nothing else here depends. All
+//! tasks of a process run on one thread. The logic is in the state machines of the packages
+//! `announcements`, `placement` and `store`; this package connects them to the sockets, the disk
+//! and the clock.
 
 mod adapter;
 mod admin;
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -25,7 +25,7 @@
         Receiver,
         Sender,
         connect,
-        frames, //
+        split_frames, //
     },
     load_delta::LoadDelta,
     message::{
@@ -87,8 +87,8 @@
     }
 }
 
-/// Connects to a store; none if that store connects in the meantime, which shows that it runs: packets
-/// that were sent to it while it was down are lost, so a new attempt is faster.
+/// Connects to a store; none if that store connects in the meantime, which shows that it runs:
+/// packets that were sent to it while it was down are lost, so a new attempt is faster.
 async fn connect_unless_accepted(
     address: SocketAddrV4,
     backoff: Backoff,
@@ -108,7 +108,7 @@
     stream: TcpStream,
     lost: &mut bool,
 ) -> io::Result<Infallible> {
-    let (mut sender, receiver) = frames::<Hello, GossipAck>(stream);
+    let (mut sender, receiver) = split_frames::<Hello, GossipAck>(stream);
     let hello = Hello::Store {
         centre: state.settings.centre.clone(),
         member: state.member.clone(),
@@ -155,8 +155,8 @@
     }
 }
 
-/// Gossip for a store that has all changes up to `sent`. Changed loads, if any, are sent with the data
-/// of keepalives only.
+/// Gossip for a store that has all changes up to `sent`. `loads` is set if a keepalive is due; only
+/// then are the known stores and a request to join included.
 fn gossip(
     state: &StoreState,
     address: SocketAddrV4,
--- a/crates/edge/src/load_table.rs
+++ b/crates/edge/src/load_table.rs
@@ -4,7 +4,7 @@
 
 use crate::message::EndpointLoad;
 
-/// The loads received over a connection: the last input of the peer's
+/// The loads received over a connection, equal to those last passed to the peer's
 /// [`LoadDelta`](crate::LoadDelta).
 #[derive(Clone, Debug, Default)]
 pub struct LoadTable {
--- a/crates/edge/src/logs.rs
+++ b/crates/edge/src/logs.rs
@@ -95,7 +95,8 @@
     while let Ok(mut bytes) = lines.recv() {
         bytes.extend(lines.try_iter().flatten());
         if out.write_all(&bytes).and_then(|()| out.flush()).is_err() {
-            // The reader is gone; the queue fills up, and further lines are counted.
+            // Standard output cannot be written: the queue is disconnected, and further lines are
+            // counted.
             return;
         }
     }
--- a/crates/edge/src/message.rs
+++ b/crates/edge/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between entries and stores, encoded with `postcard` in length-prefixed frames.
 //!
-//! The frames carry a stream of changes one way and acknowledgements the other; `tarpc` calls, each of
-//! which waits for its response, would cost a packet each way for every change.
+//! The frames carry a stream of changes one way and acknowledgements the other; `tarpc` calls, each
+//! of which waits for its response, would cost a packet each way for every change.
 
 use std::net::SocketAddrV4;
 
@@ -74,7 +74,7 @@
     pub reports: bool,
 }
 
-/// Changes that a store sends to another; an empty one is a keepalive.
+/// Changes that a store sends to another; only keepalives carry `join`, `loads` and `stores`.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize, Serialize)]
 pub struct Gossip {
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -25,8 +25,8 @@
 };
 use wire::Refusals;
 
-/// Upper bounds of the histograms' buckets, in seconds: from a sync of a fast disk to the longest wait of
-/// a client.
+/// Upper bounds of the histograms' buckets, in seconds: from a sync of a fast disk to the longest
+/// wait of a client.
 const BUCKETS: [f64; 9] = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0];
 
 /// The label of gauges by phase of an endpoint.
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -28,7 +28,7 @@
 pub struct Peer {
     /// Notified when a connection from it is accepted, which shows that it runs.
     pub accepted: Rc<Event>,
-    /// Number of the last own change whose record it has acknowledged, with all earlier ones.
+    /// Number of this store's last change whose record it has acknowledged, with all earlier ones.
     pub acknowledged: u64,
     /// Its data centre, once known.
     pub centre: Option<Box<str>>,
@@ -93,7 +93,7 @@
     }
 
     /// Records an accepted connection from a store, and its data centre.
-    pub fn accepted(&mut self, address: SocketAddrV4, centre: Box<str>) {
+    pub fn record_accepted(&mut self, address: SocketAddrV4, centre: Box<str>) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.centre = Some(centre);
             peer.accepted.notify(usize::MAX);
@@ -114,8 +114,9 @@
         recent.count()
     }
 
-    /// Whether all records up to an own change survive the loss of `losses` stores, and of the whole data
-    /// centre `centre`: enough stores have a copy, including one in another data centre if there is any.
+    /// Whether all records up to one of this store's changes survive the loss of `losses` stores,
+    /// and of the whole data centre `centre`: enough stores have a copy, including one in another
+    /// data centre if there is any.
     pub fn replicated(&self, change: u64, losses: usize, centre: &str) -> bool {
         let remote = |peer: &&Peer| peer.centre.as_deref().is_some_and(|other| other != centre);
         let copies = || {
--- a/crates/edge/src/reload.rs
+++ b/crates/edge/src/reload.rs
@@ -22,7 +22,8 @@
 /// Interval of checks of the settings file, which may change without a signal.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reloads the settings on a signal or when their file changes, until a graceful shutdown is requested.
+/// Reloads the settings on a signal or when their file changes, until a graceful shutdown is
+/// requested.
 ///
 /// An invalid file is logged, and the previous settings stay in force.
 ///
--- a/crates/edge/src/run_entry.rs
+++ b/crates/edge/src/run_entry.rs
@@ -39,11 +39,11 @@
 /// Interval of timer work.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Shortest time for which packets are still forwarded during a graceful shutdown: until two readiness
-/// checks of a router have failed and it sends its flows elsewhere.
+/// Shortest time for which packets are still forwarded during a graceful shutdown: until two
+/// readiness checks of a router have failed and it sends its flows elsewhere.
 const DRAIN_TIME: Duration = Duration::from_millis(1_600);
 
-/// Time without a packet after which no router sends packets any more.
+/// Time without a packet after which all routers count as having stopped sending.
 const QUIET_TIME: Duration = Duration::from_millis(600);
 
 /// Part of the shutdown time that is left unused, so that the process ends before it is killed.
@@ -117,7 +117,6 @@
     }
 }
 
-/// Updates the gauges.
 fn update_gauges(entry: &Entry) {
     let (view, metrics) = (entry.view.borrow(), &entry.decisions.metrics);
     metrics.flows.set(gauge(view.pool().flows()));
--- a/crates/edge/src/run_store.rs
+++ b/crates/edge/src/run_store.rs
@@ -69,8 +69,8 @@
 /// Missed heartbeats after which an endpoint counts as silent.
 const MISSED_HEARTBEATS: u32 = 3;
 
-/// Applied log entries after which a snapshot replaces them: documents are large, so few entries fill a
-/// small disk.
+/// Applied log entries after which a snapshot replaces them: documents are large, so few entries
+/// fill a small disk.
 const SNAPSHOT_ENTRIES: u64 = 64;
 
 /// Time for which calls are still answered during a graceful shutdown.
@@ -84,7 +84,7 @@
 ) -> Result<(), Error> {
     let signals = Signals::new(handlers).map_err(Error::Runtime)?;
     let control = settings.control.ok_or(Error::Missing("control"))?;
-    let inner = TcpListener::bind(settings.listen_address())
+    let internal_listener = TcpListener::bind(settings.listen_address())
         .await
         .map_err(Error::Listen)?;
     let listener = TcpListener::bind(control).await.map_err(Error::Listen)?;
@@ -94,7 +94,7 @@
         name = &*state.settings.name, member = state.member.id.to_string();
         "a store has started"
     );
-    spawn(internal_server::accept(state.clone(), inner)).detach();
+    spawn(internal_server::accept(state.clone(), internal_listener)).detach();
     spawn(drive::<B>(state.clone(), folder)).detach();
     spawn(document_file::persist(state.clone())).detach();
     spawn(endpoint_file::persist(state.clone())).detach();
@@ -114,11 +114,13 @@
     Ok(())
 }
 
-/// Updates the gauges.
 fn update_gauges(state: &StoreState) {
     let (metrics, now) = (&state.metrics, state.clock.now());
     let replica = state.replica.borrow();
-    let version = replica.ledger().published().map_or(0, |held| held.version);
+    let version = replica
+        .ledger()
+        .published()
+        .map_or(0, |publication| publication.version);
     metrics.leads.set(i64::from(replica.raft().leads()));
     metrics.quorum.set(i64::from(replica.raft().current(now)));
     metrics
@@ -267,15 +269,15 @@
 }
 
 impl<B: Border> Driver<'_, B> {
-    fn apply_document(&self, held: &Publication) {
-        self.version.set(held.version);
-        match B::document(&held.bytes) {
+    fn apply_document(&self, publication: &Publication) {
+        self.version.set(publication.version);
+        match B::document(&publication.bytes) {
             Ok(document) => {
                 *self.state.document.borrow_mut() = Some(Rc::new(document));
-                log::info!(version = held.version; "a later document is in force");
+                log::info!(version = publication.version; "a later document is in force");
             }
             Err((code, advice)) => {
-                log::error!(code = code.number(), version = held.version; "{advice}");
+                log::error!(code = code.number(), version = publication.version; "{advice}");
             }
         }
     }
@@ -286,10 +288,10 @@
         let replica = self.state.replica.borrow();
         let current = replica.raft().current(self.state.clock.now());
         let regained = !self.current.replace(current) && current;
-        let held = replica.ledger().published();
-        let newer = held.filter(|held| held.version > self.version.get());
-        if let Some(held) = newer {
-            self.apply_document(held);
+        let publication = replica.ledger().published();
+        let newer = publication.filter(|publication| publication.version > self.version.get());
+        if let Some(publication) = newer {
+            self.apply_document(publication);
         }
         if regained || newer.is_some() {
             self.state.changed.notify(usize::MAX);
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -53,7 +53,7 @@
     pub inner: u16,
     /// Number of stores whose disks may be lost at once.
     pub losses: usize,
-    /// Port of the metrics; none to disable them.
+    /// Port of the metrics and of the status pages for operators; none to disable them.
     pub metrics: Option<u16>,
     /// The instance's name.
     pub name: Box<str>,
--- a/crates/edge/src/staleness.rs
+++ b/crates/edge/src/staleness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// First time for which a followed store may lack a quorum: an election takes about as long.
+/// Initial time for which a followed store may lack a quorum: an election takes about as long.
 const TOLERANCE_MIN: Duration = Duration::from_millis(1_200);
 
 /// Longest such time, while no store has a quorum: following another store costs a transfer of all
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -98,8 +98,8 @@
         document.as_ref().map_or(0, |document| document.version)
     }
 
-    /// Sum of the current load reports of all entries but one; empty for an entry that reports to another
-    /// store, which sends it the loads.
+    /// Sum of the current load reports of all entries but one; empty for an entry that reports to
+    /// another store, which sends it the loads.
     pub fn loads_excluding(&self, name: &str) -> Vec<EndpointLoad> {
         let since = self.clock.now().saturating_sub(REPORT_TTL);
         let loads = self.loads.borrow();
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -46,11 +46,11 @@
         let mut endpoints: Vec<_> = known.map(announcement).collect();
         for endpoint in &mut endpoints {
             let mut pool = view.pool().iter();
-            let held = pool.find(|held| held.name == endpoint.name);
-            if let Some(held) = held {
-                let load = held.load();
+            let pooled = pool.find(|pooled| pooled.name == endpoint.name);
+            if let Some(pooled) = pooled {
+                let load = pooled.load();
                 endpoint.connections = load.flows;
-                endpoint.load = utilisation(load.busy, held.slots);
+                endpoint.load = utilisation(load.busy, pooled.slots);
             }
         }
         endpoints
@@ -121,7 +121,7 @@
             log: Some(self.log_members()),
             ready: current && !self.stop.begun(),
             refusals: self.metrics.refusals_by_code(),
-            revision: published.map_or(0, |held| held.version),
+            revision: published.map_or(0, |publication| publication.version),
             running: 0,
             services: Vec::new(),
             stopping: self.stop.begun(),
@@ -146,10 +146,10 @@
 }
 
 fn instance(settings: &Settings) -> Instance {
-    let pages = settings.metrics.unwrap_or_default();
+    let admin_port = settings.metrics.unwrap_or_default();
     Instance {
         addresses: Addresses {
-            admin: (settings.address, pages).into(),
+            admin: (settings.address, admin_port).into(),
             fabric: settings.packets.map(SocketAddr::V4),
             inner: settings.advertised_address().into(),
             requests: None,
@@ -162,20 +162,20 @@
     }
 }
 
-/// An endpoint as announced; only entries know its connections and load.
+/// An endpoint as announced; its connections and load are observed by entries only.
 fn announcement(known: &Known) -> Announcement {
-    let own = &known.announcement;
+    let announced = &known.announcement;
     Announcement {
-        address: own.address.into(),
-        centre: own.centre.clone(),
+        address: announced.address.into(),
+        centre: announced.centre.clone(),
         connections: 0,
-        incarnation: own.incarnation,
+        incarnation: announced.incarnation,
         load: 0.0,
-        name: own.name.clone(),
-        sequence: own.sequence,
-        service: own.service.clone(),
-        slots: own.slots,
-        state: match own.state {
+        name: announced.name.clone(),
+        sequence: announced.sequence,
+        service: announced.service.clone(),
+        slots: announced.slots,
+        state: match announced.state {
             announcements::State::Draining => State::Draining,
             announcements::State::Ready => State::Ready,
         },
--- a/crates/edge/src/view.rs
+++ b/crates/edge/src/view.rs
@@ -44,11 +44,13 @@
 /// Stores that an entry follows at once: one of them may be partitioned off without detecting it.
 pub const FOLLOWED_STORES: usize = 2;
 
-/// Slot of the followed store that receives this entry's load reports and sends those of the others.
+/// Slot of the followed store that receives this entry's load reports and sends those of the
+/// others.
 pub const LOAD_SLOT: usize = 0;
 
-/// Time for which an entry that has started waits for a store with a quorum before it places flows by
-/// an unconfirmed document: a store that has a quorum learns so from its leader within 100 ms.
+/// Time for which an entry that has started waits for a store with a quorum before it places flows
+/// by an unconfirmed document: a store that has a quorum detects this from its leader's messages
+/// within 100 ms.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// State of one followed store.
@@ -94,8 +96,8 @@
 impl View {
     /// Creates an empty view.
     ///
-    /// Until `learning_until`, services without an endpoint count as ones whose endpoints have not been
-    /// announced yet.
+    /// Until `learning_until`, services without an endpoint count as ones whose endpoints have not
+    /// been announced yet.
     pub fn new(locality: Locality, learning_until: Duration) -> Self {
         Self {
             confirmed: false,
@@ -153,9 +155,9 @@
         self.confirmed
     }
 
-    /// Whether flows may be placed by the current document. After a total power loss, or in a partitioned
-    /// data centre, no store may have a quorum for long; clients are then served by the last document
-    /// that the stores knew to be in force.
+    /// Whether flows may be placed by the current document. After a total power loss, or in a
+    /// partitioned data centre, no store may have a quorum for long; clients are then served by the
+    /// last document known to be in force.
     fn accepts_flows(&self, now: Duration) -> bool {
         let waited = |since| now.saturating_sub(since) >= CONFIRMATION_TIMEOUT;
         self.confirmed || self.document_since.is_some_and(waited)
@@ -236,8 +238,9 @@
     ///
     /// # Errors
     ///
-    /// [`Code::EntryStarting`] if its endpoint may not be known yet: the client will send a copy soon.
-    /// [`Code::PacketAddress`] if no route has the packet's destination, and the errors of the pool.
+    /// [`Code::EntryStarting`] if its route or endpoint may not be known yet: the client will send
+    /// a copy soon. [`Code::PacketAddress`] if no route has the packet's destination, and the
+    /// errors of the pool.
     pub fn route(
         &mut self,
         now: Duration,
@@ -272,7 +275,8 @@
         }
     }
 
-    /// Removes idle flows whose endpoint has left or is unreachable, and returns packets to reset them.
+    /// Removes idle flows whose endpoint has left or is unreachable, and returns packets to reset
+    /// them.
     pub fn orphans(&mut self, now: Duration) -> Vec<Packet> {
         let orphans = self.pool.orphans(now).into_iter();
         orphans
@@ -358,7 +362,7 @@
         };
         let announcement = &known.announcement;
         let service = self.pool.service(&announcement.service);
-        let warm = now + Duration::from_millis(u64::from(announcement.warmup));
+        let warmup_end = now + Duration::from_millis(u64::from(announcement.warmup));
         let endpoint = Endpoint::new(
             name,
             announcement.incarnation,
@@ -368,7 +372,7 @@
         .with_phase(phase)
         .with_slots(announcement.slots)
         .with_tag(tag(name).unwrap_or_default())
-        .with_warm(warm);
+        .with_warm(warmup_end);
         let distance = self.locality.distance(&announcement.centre);
         self.pool.update(endpoint.with_distance(distance));
     }
--- a/crates/edge/tests/peers.rs
+++ b/crates/edge/tests/peers.rs
@@ -7,7 +7,7 @@
 
 use mimosausher_edge::Peers;
 
-/// Number of the own change that is replicated.
+/// Number of this store's change that is replicated.
 const CHANGE: u64 = 7;
 
 fn address(number: u8) -> SocketAddrV4 {
@@ -21,7 +21,7 @@
         let address = address(number);
         peers.add(Duration::ZERO, address);
         if let Some(centre) = centre {
-            peers.accepted(address, (*centre).into());
+            peers.record_accepted(address, (*centre).into());
         }
         let peer = peers.get_mut(address).unwrap();
         peer.acknowledged = if *copied { CHANGE } else { CHANGE - 1 };
--- a/crates/edge/tests/staleness.rs
+++ b/crates/edge/tests/staleness.rs
@@ -11,8 +11,8 @@
     Duration::from_millis(millis)
 }
 
-/// The stores are partitioned and the entry follows one without a quorum: it must switch within the time
-/// in which a document must come into force.
+/// The stores are partitioned and the entry follows one without a quorum: it must switch within the
+/// time in which a document must come into force.
 #[test]
 fn record_isolated_store() {
     let mut staleness = Staleness::default();
--- a/crates/edge/tests/view.rs
+++ b/crates/edge/tests/view.rs
@@ -104,8 +104,8 @@
         }
     }
 
-    fn apply(&mut self, source: usize, push: Push) -> bool {
-        self.view.apply(at(10), source, push, |_| Some(1))
+    fn apply(&mut self, slot: usize, push: Push) -> bool {
+        self.view.apply(at(10), slot, push, |_| Some(1))
     }
 
     fn route(&mut self, now: Duration, packet: &Packet) -> Result<Box<str>, Code> {
@@ -115,7 +115,10 @@
 
     fn phase(&self, name: &str) -> Phase {
         let mut endpoints = self.view.pool().iter();
-        endpoints.find(|held| &*held.name == name).unwrap().phase
+        endpoints
+            .find(|endpoint| &*endpoint.name == name)
+            .unwrap()
+            .phase
     }
 }
 
@@ -134,8 +137,8 @@
     assert_eq!(harness.route(at(30), &open(1)), Ok("i-1".into()));
 }
 
-/// No store has a quorum, after a total power loss or in a partitioned data centre: clients are served by
-/// the last known document.
+/// No store has a quorum, after a total power loss or in a partitioned data centre: clients are
+/// served by the last known document.
 #[test]
 fn route_no_quorum_anywhere() {
     let mut harness = Harness::new();
