--- a/models/claims.pml
+++ b/models/claims.pml
@@ -1,61 +1,63 @@
 /* At-most-once claims on one idempotency key.
  *
- * Two claimants, the first and its resend through another entry, ask three holders. A claim counts
- * at two grants, and its request is sent to an endpoint only then. Claims, grants and settlements
- * may be lost. One holder may be replaced by a new one that replies "unknown"; so may a second.
- * FAULT 1 sends before the claim counts; FAULT 2 lets one grant be enough; FAULT 3 lets a new
- * holder grant at once.
+ * Two claimants, the original request and its retransmission through another entry, send claims to
+ * three holders. A claim succeeds with two grants, and only then is its request forwarded to an
+ * endpoint. Claims, grants and releases may be lost. Up to two holders may be replaced by new ones,
+ * which reply "unknown".
+ *
+ * Seeded faults: FAULT 1 forwards the request before the claim succeeds; FAULT 2 accepts a single
+ * grant; FAULT 3 lets a new holder grant claims at once.
  */
 #ifndef FAULT
 #define FAULT 0
 #endif
 
 #define HOLDERS 3
-#define NOBODY 255
+#define NO_CLAIMANT 255
 
-byte held[HOLDERS];   /* which claimant holds the key there */
-bool known[HOLDERS];  /* whether the holder cannot have missed a claim */
-byte runs;            /* how often an endpoint ran the request */
-byte deaths;
+byte claimed_by[HOLDERS];  /* the claimant that holds the key at each holder */
+bool complete[HOLDERS];    /* false if the holder may have missed a claim */
+byte executions;           /* number of times that endpoints executed the request */
+byte replacements;
 
-proctype claimant(byte me)
+proctype claimant(byte self_id)
 {
     byte holder;
     byte grants = 0;
-    bool sent = false;
+    bool forwarded = false;
 
 #if FAULT == 1
-    runs++;
-    sent = true;
+    executions++;
+    forwarded = true;
 #endif
     for (holder : 0 .. HOLDERS - 1) {
         if
-        :: atomic { held[holder] == NOBODY && known[holder] -> held[holder] = me; grants++ }
-        :: atomic { held[holder] == NOBODY && !known[holder] -> held[holder] = me }
-        :: held[holder] == me && known[holder] -> grants++
-        :: held[holder] != NOBODY -> skip
-        /* The claim is lost, or the grant: the holder may keep a claim that does not count. */
+        :: atomic { claimed_by[holder] == NO_CLAIMANT && complete[holder] -> claimed_by[holder] = self_id; grants++ }
+        :: atomic { claimed_by[holder] == NO_CLAIMANT && !complete[holder] -> claimed_by[holder] = self_id }
+        :: claimed_by[holder] == self_id && complete[holder] -> grants++
+        :: claimed_by[holder] != NO_CLAIMANT -> skip
+        /* The claim or its grant is lost: the holder may retain a claim whose grant is not counted. */
         :: true -> skip
-        :: atomic { held[holder] == NOBODY -> held[holder] = me }
+        :: atomic { claimed_by[holder] == NO_CLAIMANT -> claimed_by[holder] = self_id }
         fi
     }
 #if FAULT == 2
     if
-    :: grants >= 1 && !sent -> runs++; sent = true
+    :: grants >= 1 && !forwarded -> executions++; forwarded = true
     :: else -> skip
     fi;
 #else
     if
-    :: grants >= 2 && !sent -> runs++; sent = true
+    :: grants >= 2 && !forwarded -> executions++; forwarded = true
     :: else -> skip
     fi;
 #endif
-    /* A claim whose request was not sent is given up; each release may be lost. */
+    /* A claim whose request was not forwarded is released; each release may be lost. */
     if
-    :: !sent ->
+    :: !forwarded ->
         for (holder : 0 .. HOLDERS - 1) {
             if
-            :: atomic { held[holder] == me -> held[holder] = NOBODY }
+            :: atomic { claimed_by[holder] == self_id -> claimed_by[holder] = NO_CLAIMANT }
             :: true -> skip
             fi
         }
@@ -63,14 +65,14 @@
     fi
 }
 
-/* A holder dies, and another entry takes its seat without its claims. */
-proctype death(byte holder)
+/* A holder crashes, and another entry replaces it without its claims. */
+proctype replace_holder(byte holder)
 {
     atomic {
-        held[holder] = NOBODY;
-        deaths++;
+        claimed_by[holder] = NO_CLAIMANT;
+        replacements++;
 #if FAULT != 3
-        known[holder] = false;
+        complete[holder] = false;
 #endif
     }
 }
@@ -79,14 +81,14 @@
     byte holder;
     atomic {
         for (holder : 0 .. HOLDERS - 1) {
-            held[holder] = NOBODY;
-            known[holder] = true
+            claimed_by[holder] = NO_CLAIMANT;
+            complete[holder] = true
         }
         run claimant(1);
         run claimant(2);
-        run death(0);
-        run death(1);
+        run replace_holder(0);
+        run replace_holder(1);
     }
 }
 
-ltl once { [] (runs <= 1) }
+ltl at_most_once { [] (executions <= 1) }
--- a/models/log.pml
+++ b/models/log.pml
@@ -1,12 +1,15 @@
 /*
- * The core of the replicated log: election, commit, lost disks and change of members.
+ * The core of the replicated log: leader election, commit, disk loss and membership changes.
  *
- * Each slot holds a store. A store that lost its disk gets a new id. Exchanges between two
- * stores are atomic and may never happen. UNSYNCED and KEEPS are faults that the check must find.
+ * Each slot holds a store. A store that lost its disk gets a new id. An exchange between two stores
+ * is atomic and may never happen.
  *
- * With WANTED, leaders keep that many voters by themselves out of one store more: they take a vote
- * from any voter, since it may have fallen silent, and give it to a store that has caught up. TWICE,
- * which does not wait for the change before, is a fault too.
+ * Seeded faults, which the check must find: with UNSYNCED, a vote counts before it is on disk; with
+ * KEEPS, a store that lost its disk keeps its id and restarts as a founder.
+ *
+ * With WANTED, leaders maintain that number of voters among WANTED + 1 stores: they demote any voter,
+ * since it may have become unresponsive, and promote a store that has caught up. The seeded fault
+ * TWICE starts a change before the previous one is committed.
  */
 
 #ifdef WANTED
@@ -33,11 +36,11 @@
 #define CANDIDATE 1
 #define LEADER 2
 
-#define ID(i) (i + N * gen[i])
+#define ID(i) (i + N * generation[i])
 #define BIT(i) (1 << ID(i))
-#define AT(i, k) ((i) * ENTRIES + (k))
-#define LAST(i) log_term[AT(i, length[i] - 1)]
-#define SIZE(m) (((m) & 1) + (((m) >> 1) & 1) + (((m) >> 2) & 1) \
+#define INDEX(i, k) ((i) * ENTRIES + (k))
+#define LAST(i) log_term[INDEX(i, length[i] - 1)]
+#define MEMBER_COUNT(m) (((m) & 1) + (((m) >> 1) & 1) + (((m) >> 2) & 1) \
     + (((m) >> 3) & 1) + (((m) >> 4) & 1) + (((m) >> 5) & 1) + (((m) >> 6) & 1) + (((m) >> 7) & 1))
 
 byte term[N] = 1;
@@ -46,53 +49,53 @@
 byte disk_vote[N] = NONE;
 byte role[N] = FOLLOWER;
 byte votes[N];
-byte gen[N];
+byte generation[N];
 
-/* Each store's log: the entries' terms, and the members that an entry names, as a set of ids. */
+/* The log of each store: the term of each entry, and its member set as a bit set of ids, or 0. */
 byte length[N] = 1;
 byte log_term[N * ENTRIES];
 byte log_members[N * ENTRIES];
 byte commit[N] = 1;
 
-/* The committed entries' terms, the terms that committed them, and the leader of each term. */
-byte chosen[ENTRIES];
-byte chosen_in[ENTRIES];
-byte count = 1;
+/* The term of each committed entry, the term that committed it, and the leader of each term. */
+byte committed_term[ENTRIES];
+byte committed_in[ENTRIES];
+byte committed_length = 1;
 byte leader[TERMS + 1] = NONE;
 
 byte crashes;
 byte wipes;
 
 hidden byte members;
-hidden byte named;
+hidden byte config_index;
 hidden byte k;
 hidden byte s;
-hidden byte held;
-hidden byte same;
+hidden byte holders;
+hidden byte prefix_matches;
 
-/* The members in effect at store i, and the entry that names them. */
-inline view(i) {
-    named = length[i];
+/* Sets members to the latest member set in the log of store i, and config_index to its entry. */
+inline find_members(i) {
+    config_index = length[i];
     members = 0;
     do
-    :: named > 0 && members == 0 -> named--; members = log_members[AT(i, named)]
+    :: config_index > 0 && members == 0 -> config_index--; members = log_members[INDEX(i, config_index)]
     :: else -> break
     od
 }
 
-/* Whether the log of store j holds the first n entries of store i. */
-inline compare(i, j, n) {
-    same = (length[j] >= n);
+/* Sets prefix_matches to whether the log of store j contains the first n entries of store i. */
+inline compare_prefix(i, j, n) {
+    prefix_matches = (length[j] >= n);
     k = 0;
     do
-    :: same && k < n ->
-        same = (log_term[AT(i, k)] == log_term[AT(j, k)]);
+    :: prefix_matches && k < n ->
+        prefix_matches = (log_term[INDEX(i, k)] == log_term[INDEX(j, k)]);
         k++
     :: else -> break
     od
 }
 
-inline raise(j, t) {
+inline adopt_term(j, t) {
     if
     :: term[j] < t ->
         term[j] = t; vote[j] = NONE; role[j] = FOLLOWER; votes[j] = 0;
@@ -101,13 +104,13 @@
     fi
 }
 
-inline push(i, set) {
-    log_term[AT(i, length[i])] = term[i];
-    log_members[AT(i, length[i])] = set;
+inline append(i, set) {
+    log_term[INDEX(i, length[i])] = term[i];
+    log_members[INDEX(i, length[i])] = set;
     length[i]++
 }
 
-inline stand(i) {
+inline start_election(i) {
     term[i]++;
     vote[i] = ID(i);
     disk_term[i] = term[i];
@@ -116,9 +119,9 @@
     votes[i] = BIT(i)
 }
 
-/* Store j votes for candidate i if it may, and its vote is on disk before it counts. */
-inline ask(i, j) {
-    raise(j, term[i]);
+/* Store j votes for candidate i if the rules permit; its vote is on disk before it counts. */
+inline request_vote(i, j) {
+    adopt_term(j, term[i]);
     if
     :: term[j] == term[i] && (vote[j] == NONE || vote[j] == ID(i)) &&
         (LAST(i) > LAST(j) || (LAST(i) == LAST(j) && length[i] >= length[j])) ->
@@ -131,47 +134,47 @@
     fi
 }
 
-inline lead(i) {
-    view(i);
+inline become_leader(i) {
+    find_members(i);
     if
-    :: 2 * SIZE(votes[i] & members) > SIZE(members) ->
+    :: 2 * MEMBER_COUNT(votes[i] & members) > MEMBER_COUNT(members) ->
         assert(leader[term[i]] == NONE || leader[term[i]] == ID(i));
         leader[term[i]] = ID(i);
         role[i] = LEADER;
         k = 0;
         do
-        :: k < count ->
-            assert(chosen_in[k] >= term[i] ||
-                (k < length[i] && log_term[AT(i, k)] == chosen[k]));
+        :: k < committed_length ->
+            assert(committed_in[k] >= term[i] ||
+                (k < length[i] && log_term[INDEX(i, k)] == committed_term[k]));
             k++
         :: else -> break
         od;
-        push(i, 0)
+        append(i, 0)
     :: else
     fi
 }
 
-/* Store j takes the first entry of leader i that it lacks, in place of what contradicts it. */
+/* Store j appends the first entry of leader i that it lacks and truncates conflicting entries. */
 inline replicate(i, j) {
-    raise(j, term[i]);
+    adopt_term(j, term[i]);
     if
     :: term[j] == term[i] ->
         role[j] = FOLLOWER;
         votes[j] = 0;
         k = 0;
         do
-        :: k < length[i] && k < length[j] && log_term[AT(i, k)] == log_term[AT(j, k)] -> k++
+        :: k < length[i] && k < length[j] && log_term[INDEX(i, k)] == log_term[INDEX(j, k)] -> k++
         :: else -> break
         od;
         if
         :: k < length[i] ->
             s = k;
             do
-            :: s < ENTRIES -> log_term[AT(j, s)] = 0; log_members[AT(j, s)] = 0; s++
+            :: s < ENTRIES -> log_term[INDEX(j, s)] = 0; log_members[INDEX(j, s)] = 0; s++
             :: else -> break
             od;
-            log_term[AT(j, k)] = log_term[AT(i, k)];
-            log_members[AT(j, k)] = log_members[AT(i, k)];
+            log_term[INDEX(j, k)] = log_term[INDEX(i, k)];
+            log_members[INDEX(j, k)] = log_members[INDEX(i, k)];
             length[j] = k + 1
         :: else
         fi
@@ -179,16 +182,16 @@
     fi
 }
 
-/* Leader i commits all its entries if a quorum holds them; the last one is of its term. */
-inline settle(i) {
-    view(i);
-    held = 0;
+/* Leader i commits all its entries if a quorum holds them and the last one is of its own term. */
+inline advance_commit(i) {
+    find_members(i);
+    holders = 0;
     s = 0;
     do
     :: s < N ->
-        compare(i, s, length[i]);
+        compare_prefix(i, s, length[i]);
         if
-        :: same && term[s] == term[i] -> held = held | BIT(s)
+        :: prefix_matches && term[s] == term[i] -> holders = holders | BIT(s)
         :: else
         fi;
         s++
@@ -196,21 +199,21 @@
     od;
     if
     :: LAST(i) == term[i] &&
-        2 * SIZE(held & members) > SIZE(members) ->
+        2 * MEMBER_COUNT(holders & members) > MEMBER_COUNT(members) ->
         k = 0;
         do
         :: k < length[i] ->
-            assert(k >= count || chosen[k] == log_term[AT(i, k)]);
-            chosen[k] = log_term[AT(i, k)];
+            assert(k >= committed_length || committed_term[k] == log_term[INDEX(i, k)]);
+            committed_term[k] = log_term[INDEX(i, k)];
             if
-            :: k >= count -> chosen_in[k] = term[i]
+            :: k >= committed_length -> committed_in[k] = term[i]
             :: else
             fi;
             k++
         :: else -> break
         od;
         if
-        :: count < length[i] -> count = length[i]
+        :: committed_length < length[i] -> committed_length = length[i]
         :: else
         fi;
         commit[i] = length[i]
@@ -219,42 +222,42 @@
 }
 
 #ifdef TWICE
-#define SETTLED 1
+#define CHANGE_COMMITTED 1
 #else
-#define SETTLED (named < commit[i] && log_term[AT(i, commit[i] - 1)] == term[i])
+#define CHANGE_COMMITTED (config_index < commit[i] && log_term[INDEX(i, commit[i] - 1)] == term[i])
 #endif
 
 #ifdef WANTED
 /*
- * Leader i removes the id that the store in slot j lost with its disk; else gives j a vote, one more
- * than wanted if need be, or takes the superfluous one from it.
+ * Leader i removes the id that the store in slot j lost with its disk; otherwise it promotes j to a
+ * voter, temporarily exceeding WANTED by one, or demotes it if there is one voter too many.
  */
-inline change(i, j) {
-    view(i);
-    compare(i, j, commit[i]);
+inline change_members(i, j) {
+    find_members(i);
+    compare_prefix(i, j, commit[i]);
     if
-    :: SETTLED && gen[j] == 1 && (members & (1 << j)) -> push(i, members & ~(1 << j))
-    :: SETTLED && !(gen[j] == 1 && (members & (1 << j))) ->
+    :: CHANGE_COMMITTED && generation[j] == 1 && (members & (1 << j)) -> append(i, members & ~(1 << j))
+    :: CHANGE_COMMITTED && !(generation[j] == 1 && (members & (1 << j))) ->
         if
-        :: same && !(members & BIT(j)) && SIZE(members) <= WANTED -> push(i, members | BIT(j))
-        :: (members & BIT(j)) && SIZE(members) > WANTED -> push(i, members & ~BIT(j))
+        :: prefix_matches && !(members & BIT(j)) && MEMBER_COUNT(members) <= WANTED -> append(i, members | BIT(j))
+        :: (members & BIT(j)) && MEMBER_COUNT(members) > WANTED -> append(i, members & ~BIT(j))
         :: else
         fi
     :: else
     fi
 }
 #else
-/* Leader i removes the id that the store in slot j lost with its disk, or adds its new one. */
-inline change(i, j) {
-    view(i);
+/* Leader i removes the id that the store in slot j lost with its disk, or adds its new id. */
+inline change_members(i, j) {
+    find_members(i);
     if
-    :: SETTLED && gen[j] == 1 ->
+    :: CHANGE_COMMITTED && generation[j] == 1 ->
         if
-        :: members & (1 << j) -> push(i, members & ~(1 << j))
+        :: members & (1 << j) -> append(i, members & ~(1 << j))
         :: else ->
-            compare(i, j, commit[i]);
+            compare_prefix(i, j, commit[i]);
             if
-            :: same && !(members & BIT(j)) -> push(i, members | BIT(j))
+            :: prefix_matches && !(members & BIT(j)) -> append(i, members | BIT(j))
             :: else
             fi
         fi
@@ -282,19 +285,19 @@
 #ifdef KEEPS
     s = 1;
 #else
-    gen[i] = 1;
+    generation[i] = 1;
 #endif
     term[i] = s;
     disk_term[i] = s;
     length[i] = s;
     commit[i] = s;
     do
-    :: s < ENTRIES -> log_term[AT(i, s)] = 0; log_members[AT(i, s)] = 0; s++
+    :: s < ENTRIES -> log_term[INDEX(i, s)] = 0; log_members[INDEX(i, s)] = 0; s++
     :: else -> break
     od
 }
 
-#define MEMBER(i) (members & BIT(i))
+#define IS_MEMBER(i) (members & BIT(i))
 
 init {
     byte i;
@@ -302,14 +305,14 @@
     d_step {
         i = 0;
         do
-        :: i < FOUNDERS -> log_term[AT(i, 0)] = 1; log_members[AT(i, 0)] = (1 << FOUNDERS) - 1; i++
+        :: i < FOUNDERS -> log_term[INDEX(i, 0)] = 1; log_members[INDEX(i, 0)] = (1 << FOUNDERS) - 1; i++
         :: else -> break
         od;
         do
         :: i < N -> term[i] = 0; disk_term[i] = 0; length[i] = 0; commit[i] = 0; i++
         :: else -> break
         od;
-        chosen[0] = 1;
+        committed_term[0] = 1;
         i = 0
     }
     do
@@ -318,14 +321,14 @@
         select(j : 0 .. N - 1);
         if
         :: i == j && term[i] < TERMS && role[i] != LEADER && length[i] > 0 ->
-            d_step { view(i); if :: MEMBER(i) -> stand(i) :: else fi }
+            d_step { find_members(i); if :: IS_MEMBER(i) -> start_election(i) :: else fi }
         :: i != j && role[i] == CANDIDATE && length[j] > 0 && term[j] <= term[i] ->
-            d_step { view(i); if :: MEMBER(j) -> ask(i, j) :: else fi }
-        :: i == j && role[i] == CANDIDATE && length[i] < ENTRIES -> d_step { lead(i) }
+            d_step { find_members(i); if :: IS_MEMBER(j) -> request_vote(i, j) :: else fi }
+        :: i == j && role[i] == CANDIDATE && length[i] < ENTRIES -> d_step { become_leader(i) }
         :: i != j && role[i] == LEADER && term[j] <= term[i] -> d_step { replicate(i, j) }
-        :: i == j && role[i] == LEADER && commit[i] < length[i] -> d_step { settle(i) }
-        :: i == j && role[i] == LEADER && length[i] < ENTRIES -> d_step { push(i, 0) }
-        :: i != j && role[i] == LEADER && length[i] < ENTRIES -> d_step { change(i, j) }
+        :: i == j && role[i] == LEADER && commit[i] < length[i] -> d_step { advance_commit(i) }
+        :: i == j && role[i] == LEADER && length[i] < ENTRIES -> d_step { append(i, 0) }
+        :: i != j && role[i] == LEADER && length[i] < ENTRIES -> d_step { change_members(i, j) }
         :: i == j && crashes < CRASHES -> d_step { crash(i) }
         :: i == j && wipes == 0 -> d_step { wipe(i); s = 0 }
         :: else
