--- a/.ci/capacity.py
+++ b/.ci/capacity.py
@@ -29,7 +29,7 @@
 
 
 def names():
-    """What expressions may use."""
+    """The names available to expressions."""
     known = {"min": min, "max": max, "verdict": lambda value, bound: "met" if value <= bound else "MISSED"}
     for name, slope in json.loads(SLOPES.read_text()).items():
         short = name.removeprefix("capacity.")
@@ -40,7 +40,7 @@
 
 
 def render():
-    """The page's text."""
+    """The text of the rendered page."""
     known = names()
     for name, value in re.findall(r"^    (\w+) = ([\d_.]+)", TEMPLATE.read_text(), re.M):
         known[name] = float(value)
@@ -48,7 +48,7 @@
 
 
 def slopes(lines):
-    """The slopes among printed figures, by name."""
+    """The slopes among the printed figures, by figure name."""
     figures = [json.loads(line) for line in lines if line.startswith('{"figure":"capacity.')]
     return {figure.pop("figure"): figure for figure in figures}
 
--- a/.ci/layout.py
+++ b/.ci/layout.py
@@ -1,4 +1,4 @@
-"""Checks what the compiler does not: where tests and documentation stand."""
+"""Checks what the compiler does not: module documentation, tests only in test files, src/lib.rs in each package."""
 
 import pathlib
 import subprocess
--- a/.ci/platform.py
+++ b/.ci/platform.py
@@ -1,4 +1,4 @@
-"""Checks that no name of the platform's wire, settings or calls stands outside of platform/."""
+"""Checks that the names of the platform's wire format, settings and HTTP calls occur only in platform/."""
 
 import pathlib
 import re
