--- a/crates/announcements/src/registry.rs
+++ b/crates/announcements/src/registry.rs
@@ -15,7 +15,8 @@
     record::Record, //
 };
 
-/// Time for which a departed endpoint is retained: longer than any report of it may be delayed.
+/// Time since its last announcement after which a departed or silent endpoint is evicted; longer
+/// than any record of it may be delayed.
 pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
 
 /// Offset added to every time, so that events before the start of the process have a time as well.
@@ -34,7 +35,7 @@
     entry_change: u64,
     /// Time of its last announcement, plus [`CLOCK_OFFSET`].
     last_announced: Duration,
-    /// Number of the last change or direct announcement, which is sent to other stores.
+    /// Number of the last change that is sent to other stores; a direct announcement is one, too.
     store_change: u64,
 }
 
@@ -53,7 +54,7 @@
 pub struct Registry {
     /// Endpoint that owns each address: the one with the latest incarnation.
     addresses: HashMap<SocketAddrV4, Box<str>>,
-    /// Number of the latest change; each change and each direct announcement increments it.
+    /// Number of the latest change; each accepted record is one, even a renewal.
     count: u64,
     endpoints: BTreeMap<Box<str>, Known>,
     /// Time without an announcement after which an endpoint counts as silent.
@@ -109,8 +110,8 @@
         self.insert(now, record, false)
     }
 
-    /// Updates which endpoints are silent, and evicts departed or silent ones after [`TOMBSTONE_RETENTION`].
-    /// To be called a few times a second.
+    /// Updates which endpoints are silent, and evicts departed or silent ones after
+    /// [`TOMBSTONE_RETENTION`]. To be called a few times a second.
     pub fn tick(&mut self, now: Duration) {
         let now = now + CLOCK_OFFSET;
         let (timeout, mut count) = (self.timeout, self.count);
@@ -179,7 +180,7 @@
         record.departed |= self.superseded(&record);
         let name = record.announcement.name.clone();
         let rank = record.rank();
-        let (same, previous) = match self.endpoints.get(&name) {
+        let (renewal, previous) = match self.endpoints.get(&name) {
             Some(known) if known.rank() >= rank => return false,
             Some(known) => (is_renewal(known, &record), known.last_announced),
             None => (false, Duration::ZERO),
@@ -200,10 +201,10 @@
         known.departed = departed;
         known.last_announced = previous.max(last_announced);
         let silent = now.saturating_sub(known.last_announced) > self.timeout;
-        if !same || known.silent != silent {
+        if !renewal || known.silent != silent {
             known.entry_change = count;
         }
-        if !same || direct {
+        if !renewal || direct {
             known.store_change = count;
         }
         known.silent = silent;
@@ -244,7 +245,8 @@
     }
 }
 
-/// Whether a record only shows that the endpoint still runs.
+/// Whether a record changes nothing but the sequence number and the remaining slow start, and so
+/// only shows that the endpoint still runs.
 fn is_renewal(known: &Known, record: &Record) -> bool {
     let (old, new) = (&known.announcement, &record.announcement);
     let same = Announcement {
--- a/crates/announcements/tests/registry.rs
+++ b/crates/announcements/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: order of records, late reports, reused addresses and silence.
+//! The registry: order of records, delayed announcements, reused addresses and silence.
 
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn announce_late_report() {
+fn announce_earlier_sequence() {
     let mut registry = Registry::new(TIMEOUT);
     assert!(registry.announce(at(1), draining("a", 5, 9)));
     assert!(!registry.announce(at(2), announcement("a", 5, 8)));
@@ -97,14 +97,14 @@
     registry.announce(at(1), announcement("a", 5, 1));
     registry.announce(at(9), announcement("b", 8, 1));
     assert!(registry.get("a").unwrap().departed);
-    // A late report of the crashed endpoint, delayed by a network partition.
+    // An announcement of the crashed endpoint, delayed by a network partition.
     registry.announce(at(10), announcement("a", 5, 2));
     assert!(registry.get("a").unwrap().departed);
     assert!(!registry.get("b").unwrap().departed);
 }
 
 #[test]
-fn merge_late_report_of_unknown_endpoint() {
+fn merge_delayed_record_of_unknown_endpoint() {
     let mut registry = Registry::new(TIMEOUT);
     registry.announce(at(9), announcement("b", 8, 1));
     registry.merge(at(10), record(announcement("a", 5, 2), false));
@@ -192,12 +192,12 @@
                 one.merge(at(1), record);
             }
         }
-        let held = stores.each_ref().map(|store| {
+        let states = stores.each_ref().map(|store| {
             let known = store.iter();
             known
                 .map(|known| (known.announcement.clone(), known.departed))
                 .collect::<Vec<_>>()
         });
-        assert_eq!(held[0], held[1], "seed {seed}");
+        assert_eq!(states[0], states[1], "seed {seed}");
     }
 }
--- a/crates/configuration/src/configuration.rs
+++ b/crates/configuration/src/configuration.rs
@@ -138,7 +138,7 @@
 
     /// Texts of the sections in force, in the order of their names.
     pub fn texts(&self) -> impl Iterator<Item = &Text> {
-        self.sections.values().map(|entry| &entry.text)
+        self.sections.values().map(|stored| &stored.text)
     }
 
     fn insert(&mut self, text: Text, section: Section) {
@@ -160,11 +160,11 @@
             }
             keys.push(key);
         }
-        let entry = StoredSection {
+        let stored = StoredSection {
             keys: keys.into(),
             text,
         };
-        self.sections.insert(entry.text.name.clone(), entry);
+        self.sections.insert(stored.text.name.clone(), stored);
     }
 
     fn longest_retention(&self) -> Duration {
@@ -174,10 +174,10 @@
     }
 
     fn remove(&mut self, section: &str) {
-        let Some(entry) = self.sections.remove(section) else {
+        let Some(stored) = self.sections.remove(section) else {
             return;
         };
-        for key in entry.keys {
+        for key in stored.keys {
             let Some(service) = self.services.remove(key) else {
                 continue;
             };
--- a/crates/configuration/tests/configuration.rs
+++ b/crates/configuration/tests/configuration.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn apply_overtaken_change() {
+fn apply_superseded_change() {
     let mut configuration = Configuration::new();
     let prepared = configuration.prepare(change(1, vec![text("a", 1)]));
     assert!(apply(&mut configuration, change(2, vec![text("a", 2)])));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn apply_invalid_text() {
+fn prepare_invalid_text() {
     let mut configuration = Configuration::new();
     apply(&mut configuration, change(1, vec![text("a", 1)]));
     let mut broken = text("b", 2);
--- a/crates/replica/src/audit.rs
+++ b/crates/replica/src/audit.rs
@@ -1,7 +1,7 @@
 //! The audit trail, as reported to operators.
 
 use store::{
-    Audit,
+    AuditRecord,
     Outcome, //
 };
 use wire::{
@@ -15,7 +15,7 @@
 pub fn trail(replica: &Replica, query: &AuditQuery) -> Vec<AuditLine> {
     let count = usize::try_from(query.count).unwrap_or(usize::MAX);
     let section = query.section.as_ref();
-    let wanted = |line: &&Audit| section.is_none_or(|name| *name == line.section);
+    let wanted = |line: &&AuditRecord| section.is_none_or(|name| *name == line.section);
     let trail = replica.ledger().audit().iter().rev();
     let mut lines: Vec<_> = trail.filter(wanted).take(count).map(line).collect();
     lines.reverse();
@@ -41,7 +41,7 @@
     }
 }
 
-fn line(audit: &Audit) -> AuditLine {
+fn line(audit: &AuditRecord) -> AuditLine {
     AuditLine {
         author: audit.author.clone(),
         base: audit.base.0,
--- a/crates/replica/src/driver.rs
+++ b/crates/replica/src/driver.rs
@@ -22,7 +22,7 @@
 use crate::replica::Replica;
 
 /// Delay before a failed write is retried.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A write to the data folder.
 #[derive(Debug)]
@@ -96,7 +96,7 @@
 }
 
 /// Writes and syncs on a separate thread, and retries until this succeeds. Until then, the store
-/// sends no messages and no results. None if the runtime ends.
+/// sends no messages and no answers. None if the runtime ends.
 async fn persist(
     replica: &RefCell<Replica>,
     mut folder: Folder,
@@ -124,7 +124,7 @@
                     _ => Code::NoLeader,
                 };
                 replica.borrow_mut().block(code);
-                compio::time::sleep(RETRY_PAUSE).await;
+                compio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -31,20 +31,21 @@
     Token, //
 };
 
-/// Queue length from which on messages of other stores are dropped.
-const QUEUED_MESSAGES: usize = 1024;
+/// Length of the event queue at which messages from other stores are dropped.
+const QUEUE_LIMIT: usize = 1024;
 
 /// The state machine of this store, with its event queue and pending requests.
 #[derive(Debug)]
 pub struct Replica {
-    answers: BTreeMap<Token, oneshot::Sender<Answer>>,
+    /// Channels for the answers to pending requests.
+    answer_senders: BTreeMap<Token, oneshot::Sender<Answer>>,
     /// Reason why nothing can be written at present.
     blocked: Option<Code>,
     /// Inner addresses of the stores that sent messages.
     inner_addresses: BTreeMap<StoreId, SocketAddr>,
     queue: VecDeque<Event>,
     raft: Raft,
-    tokens: u64,
+    token_count: u64,
     wake: Rc<Wake>,
 }
 
@@ -62,12 +63,12 @@
             path: path.join("snapshot"),
         })?;
         let replica = Self {
-            answers: BTreeMap::new(),
+            answer_senders: BTreeMap::new(),
             blocked: None,
             inner_addresses: BTreeMap::new(),
             queue: VecDeque::new(),
             raft,
-            tokens: 0,
+            token_count: 0,
             wake: Rc::new(Wake::new()),
         };
         Ok((replica, folder))
@@ -82,7 +83,7 @@
 
     /// Answers a request.
     pub fn answer(&mut self, token: Token, answer: Answer) {
-        if let Some(sender) = self.answers.remove(&token) {
+        if let Some(sender) = self.answer_senders.remove(&token) {
             // The client may have given up.
             let _closed = sender.send(answer);
         }
@@ -111,7 +112,7 @@
                 Event::Locate(..) => self.queue.push_back(event),
             }
         }
-        for (_, sender) in mem::take(&mut self.answers) {
+        for (_, sender) in mem::take(&mut self.answer_senders) {
             let advice = "the store's disk failed while the entry was written";
             let answer = Answer::Refused(Code::EditUnknown, advice.into());
             let _closed = sender.send(answer);
@@ -161,7 +162,7 @@
     /// be written.
     pub fn receive(&mut self, address: SocketAddr, message: Message) {
         self.inner_addresses.insert(message.from, address);
-        if self.queue.len() < QUEUED_MESSAGES && self.blocked.is_none() {
+        if self.queue.len() < QUEUE_LIMIT && self.blocked.is_none() {
             self.push(Event::Message(message));
         }
     }
@@ -169,9 +170,9 @@
     /// Queues a request; the answer is sent through the returned channel.
     pub fn submit(&mut self, event: impl FnOnce(Token) -> Event) -> oneshot::Receiver<Answer> {
         let (sender, receiver) = oneshot::channel();
-        self.tokens += 1;
-        let token = Token(self.tokens);
-        self.answers.insert(token, sender);
+        self.token_count += 1;
+        let token = Token(self.token_count);
+        self.answer_senders.insert(token, sender);
         match self.blocked {
             Some(code) => {
                 let advice = "the store's disk takes nothing at present";
@@ -182,8 +183,8 @@
         receiver
     }
 
-    /// Whether no edit was ever accepted. None if this is not known: only a leader with contact
-    /// with a quorum and all entries committed can tell that there was none.
+    /// Whether no edit was ever accepted; none if this is unknown. Only a leader that has contact
+    /// with a quorum and has committed all its entries can rule out an accepted edit.
     pub fn unused(&self, now: Duration) -> Option<bool> {
         let raft = &self.raft;
         match raft.ledger().revision().0 {
--- a/crates/store/src/audit.rs
+++ b/crates/store/src/audit.rs
@@ -13,7 +13,7 @@
 /// One record of the audit trail.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Audit {
+pub struct AuditRecord {
     /// Author of the edit.
     pub author: Box<str>,
     /// Version of the section that the edit is based on.
--- a/crates/store/src/election.rs
+++ b/crates/store/src/election.rs
@@ -172,7 +172,7 @@
         self.update_peers();
     }
 
-    /// Keeps one [`Peer`] for each other member, in step with the membership in effect.
+    /// Adds and removes [`Peer`]s so that there is one for each other member in effect.
     pub(crate) fn update_peers(&mut self) {
         let Role::Leader(leader) = &mut self.role else {
             return;
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -12,10 +12,10 @@
 #[derive(Debug)]
 #[derive(ThisError)]
 pub enum Error {
-    /// A record before the last one is damaged.
+    /// A file is missing or damaged; an incomplete last frame of the log does not count.
     #[error("{path:?} is damaged at byte {offset}", path = path)]
     Damaged {
-        /// Offset of the damaged record, in bytes.
+        /// Offset of the damaged frame, in bytes; 0 if the file is missing or damaged as a whole.
         offset: u64,
         /// Path of the file.
         path: PathBuf,
--- a/crates/store/src/event.rs
+++ b/crates/store/src/event.rs
@@ -78,7 +78,8 @@
     Refused(Code, Box<str>),
 }
 
-/// An output of the state machine; actions are carried out in the order returned.
+/// An output of the state machine; writes are carried out first, then the other actions, each in
+/// the order returned.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Action {
     /// Answer a request.
--- a/crates/store/src/fingerprint.rs
+++ b/crates/store/src/fingerprint.rs
@@ -11,9 +11,9 @@
 };
 
 impl Raft {
-    /// Hashes the state that determines the store's behaviour, except for times and random
-    /// numbers. Of the times, only whether the store had contact with a leader or quorum within the
-    /// election timeout is included.
+    /// Hashes the state that determines the store's behaviour, except for times, random numbers
+    /// and linearizable reads. Of the times, only whether the store had contact with a leader or
+    /// quorum within the election timeout is included.
     pub fn fingerprint<H: Hasher>(&self, hasher: &mut H) {
         let Self {
             applied,
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -4,7 +4,7 @@
 //! |---|---|
 //! | `lock` | nothing; locked while a process uses the folder |
 //! | `log` | header, then one frame for each list of [`Record`]s that was synced at once |
-//! | `snapshot` | header, then one frame with an [`EncodedSnapshot`] snapshot |
+//! | `snapshot` | header, then one frame with an [`EncodedSnapshot`] |
 //! | `store` | header, then one frame with the folder's [`StoreId`] |
 
 use std::{
@@ -130,8 +130,8 @@
     }
 }
 
-/// Creates the files of a new folder. The id is written last: without
-/// it, the folder is created again.
+/// Creates the files of a new folder. The id is written last, so that an interrupted creation is
+/// repeated. A folder with data but without an id is damaged.
 fn create(path: &Path, id: StoreId) -> Result<StoreId, Error> {
     let log = path.join("log");
     let used = match log.exists() {
@@ -153,26 +153,29 @@
 }
 
 /// Loads snapshot and log. Returns their content and the end offset of the log's last whole frame.
-fn load(folder: &Path, path: &Path) -> Result<(Saved, u64), Error> {
-    let bytes = match fs::read(path) {
+fn load(folder: &Path, log_path: &Path) -> Result<(Saved, u64), Error> {
+    let bytes = match fs::read(log_path) {
         Ok(bytes) => bytes,
-        Err(cause) if cause.kind() == io::ErrorKind::NotFound => return Err(damaged(path, 0)),
-        Err(cause) => return Err(io_error(path, cause)),
+        Err(cause) if cause.kind() == io::ErrorKind::NotFound => return Err(damaged(log_path, 0)),
+        Err(cause) => return Err(io_error(log_path, cause)),
     };
     let mut saved = Saved {
         snapshot: read(&folder.join("snapshot"))?,
         ..Saved::default()
     };
     let mut base = None;
-    let mut rest = bytes.strip_prefix(HEADER).ok_or_else(|| damaged(path, 0))?;
+    let mut rest = bytes
+        .strip_prefix(HEADER)
+        .ok_or_else(|| damaged(log_path, 0))?;
     loop {
         let at = bytes.len() - rest.len();
         let (payload, after) = match Frame::read(rest) {
-            Frame::Damaged => return Err(damaged(path, at)),
+            Frame::Damaged => return Err(damaged(log_path, at)),
             Frame::End | Frame::Torn => break,
             Frame::Whole(payload, after) => (payload, after),
         };
-        let records: Vec<Record> = postcard::from_bytes(payload).map_err(|_| damaged(path, at))?;
+        let records: Vec<Record> =
+            postcard::from_bytes(payload).map_err(|_| damaged(log_path, at))?;
         for record in records {
             if let Record::Base(position) = record {
                 base = Some(position);
--- a/crates/store/src/follower.rs
+++ b/crates/store/src/follower.rs
@@ -79,8 +79,8 @@
         self.send(from, Body::Taken { position, received });
     }
 
-    /// Replaces the applied entries by a snapshot once there are enough of them. The leader waits
-    /// up to twice as long for peers that still need these entries.
+    /// Replaces the applied entries by a snapshot once there are enough of them. The leader keeps
+    /// up to twice as many while a reachable peer still needs them.
     pub(crate) fn compact(&mut self) {
         let entries = self.applied.0.saturating_sub(self.log.base().index.0);
         if entries < self.timing.snapshot_entries
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,7 +1,7 @@
 //! Checksummed frames, which the files of the data folder consist of.
 //!
-//! A frame consists of the payload's length (4 bytes, little-endian), the CRC-32C of these 4 bytes,
-//! the CRC-32C of the payload (each 4 bytes, little-endian), and the payload.
+//! A frame consists of the payload's length, the CRC-32C of the length's bytes and the CRC-32C of
+//! the payload, each as 4 bytes in little-endian order, followed by the payload.
 
 use std::io;
 
@@ -28,12 +28,14 @@
             _ if bytes.is_empty() => Self::End,
             _ if bytes.iter().all(|byte| *byte == 0) => Self::Torn,
             None => Self::Torn,
-            Some((length, check, _, _)) if crc32c::crc32c(&length) != check => Self::Damaged,
-            Some((length, _, sum, rest)) => {
+            Some((length, length_crc, _, _)) if crc32c::crc32c(&length) != length_crc => {
+                Self::Damaged
+            }
+            Some((length, _, payload_crc, rest)) => {
                 let length = usize::try_from(u32::from_le_bytes(length)).unwrap_or(usize::MAX);
                 match rest.split_at_checked(length) {
                     None => Self::Torn,
-                    Some((payload, after)) if crc32c::crc32c(payload) == sum => {
+                    Some((payload, after)) if crc32c::crc32c(payload) == payload_crc => {
                         Self::Whole(payload, after)
                     }
                     Some((_, [])) => Self::Torn,
@@ -62,9 +64,9 @@
 
     fn split(bytes: &'a [u8]) -> Option<([u8; 4], u32, u32, &'a [u8])> {
         let (length, bytes) = bytes.split_first_chunk::<4>()?;
-        let (check, bytes) = bytes.split_first_chunk::<4>()?;
-        let (sum, rest) = bytes.split_first_chunk::<4>()?;
-        let check = u32::from_le_bytes(*check);
-        Some((*length, check, u32::from_le_bytes(*sum), rest))
+        let (length_crc, bytes) = bytes.split_first_chunk::<4>()?;
+        let (payload_crc, rest) = bytes.split_first_chunk::<4>()?;
+        let length_crc = u32::from_le_bytes(*length_crc);
+        Some((*length, length_crc, u32::from_le_bytes(*payload_crc), rest))
     }
 }
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::{
-    audit::Audit,
+    audit::AuditRecord,
     edit::Edit,
     outcome::Outcome,
     publication::{
@@ -30,7 +30,7 @@
     },
 };
 
-/// Number of edits whose outcome and audit record are kept.
+/// Number of edits and publications whose audit records are kept, with the outcomes of the edits.
 ///
 /// A resend of an older edit is refused, because its base version is no longer in force.
 pub const RETAINED_EDITS: usize = 20_000;
@@ -53,11 +53,12 @@
 
 /// The document that results from the accepted edits, with the outcome of each edit.
 ///
-/// Deterministic: the same edits applied in the same order give the same ledger on every store.
+/// Deterministic: the same edits and publications, applied in the same order, give the same ledger
+/// on every store.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize, Serialize)]
 pub struct Ledger {
-    audit: VecDeque<Audit>,
+    audit: VecDeque<AuditRecord>,
     #[serde(skip)]
     document: Document,
     history: BTreeMap<Box<str>, VecDeque<StoredSection>>,
@@ -73,7 +74,7 @@
         Self::default()
     }
 
-    /// Applies an edit; a resend of an id returns the first outcome and changes nothing.
+    /// Applies an edit; a resend with the same id returns the first outcome and changes nothing.
     pub fn apply(&mut self, edit: &Edit) -> Outcome {
         if let Some(outcome) = self.outcomes.get(&edit.id) {
             return outcome.clone();
@@ -91,8 +92,9 @@
         outcome
     }
 
-    /// The audit trail, oldest first: the last [`RETAINED_EDITS`] edits, including refused ones.
-    pub const fn audit(&self) -> &VecDeque<Audit> {
+    /// The audit trail, oldest first: the last [`RETAINED_EDITS`] edits and publications, including
+    /// refused ones.
+    pub const fn audit(&self) -> &VecDeque<AuditRecord> {
         &self.audit
     }
 
@@ -114,20 +116,20 @@
 
     /// Puts a publication in force, unless the version in force is as high or higher.
     pub fn publish(&mut self, publication: &Publication) -> Published {
-        let published = self.compare(publication).unwrap_or(Published::Accepted);
-        self.audit_publication(publication, published);
-        if published == Published::Accepted {
+        let result = self.compare(publication).unwrap_or(Published::Accepted);
+        self.audit_publication(publication, result);
+        if result == Published::Accepted {
             self.published = Some(publication.clone());
         }
-        published
+        result
     }
 
     /// The result of a publication that would change nothing; none if it would be accepted.
     pub fn compare(&self, publication: &Publication) -> Option<Published> {
         match &self.published {
-            Some(held) if held.version > publication.version => Some(Published::Superseded),
-            Some(held) if held.same_document(publication) => Some(Published::Repeated),
-            Some(held) if held.version == publication.version => Some(Published::Conflict),
+            Some(in_force) if in_force.version > publication.version => Some(Published::Superseded),
+            Some(in_force) if in_force.same_document(publication) => Some(Published::Repeated),
+            Some(in_force) if in_force.version == publication.version => Some(Published::Conflict),
             Some(_) | None => None,
         }
     }
@@ -209,7 +211,7 @@
 
     fn record_outcome(&mut self, edit: &Edit, outcome: &Outcome) {
         self.outcomes.insert(edit.id.clone(), outcome.clone());
-        self.push_audit(Audit {
+        self.push_audit(AuditRecord {
             author: edit.author.clone(),
             base: edit.base,
             id: edit.id.clone(),
@@ -220,14 +222,17 @@
     }
 
     /// Adds a publication to the audit trail, unless it repeats the one in force.
-    fn audit_publication(&mut self, publication: &Publication, published: Published) {
-        let held = self.published.as_ref().map_or(0, |held| held.version);
+    fn audit_publication(&mut self, publication: &Publication, result: Published) {
+        let base = self
+            .published
+            .as_ref()
+            .map_or(0, |in_force| in_force.version);
         let refused = |code: Code| Outcome::Refused {
             advice: code.meaning().into(),
             code,
-            version: Version(held),
+            version: Version(base),
         };
-        let outcome = match published {
+        let outcome = match result {
             Published::Accepted => Outcome::Accepted {
                 revision: Revision(publication.version),
                 version: Version(publication.version),
@@ -236,9 +241,9 @@
             Published::Repeated => return,
             Published::Superseded => refused(Code::PublicationSuperseded),
         };
-        self.push_audit(Audit {
+        self.push_audit(AuditRecord {
             author: publication.author.clone(),
-            base: Version(held),
+            base: Version(base),
             id: format!("{:08x}", crc32c::crc32c(&publication.bytes)).into(),
             outcome,
             section: DOCUMENT.into(),
@@ -246,7 +251,7 @@
         });
     }
 
-    fn push_audit(&mut self, record: Audit) {
+    fn push_audit(&mut self, record: AuditRecord) {
         self.audit.push_back(record);
         if self.audit.len() > RETAINED_EDITS
             && let Some(oldest) = self.audit.pop_front()
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -35,7 +35,7 @@
 mod voters;
 
 pub use crate::{
-    audit::Audit,
+    audit::AuditRecord,
     edit::Edit,
     entry::{
         Entry,
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -15,7 +15,7 @@
     },
 };
 
-/// Size of a message's entries, in bytes, from which on no further entry is added.
+/// Total size of the entries in a message, in bytes, at which no further entry is added.
 const BATCH_BYTES: usize = 1024 * 1024;
 
 /// The entries after the snapshot, and the memberships that they define.
@@ -103,7 +103,7 @@
             .map_or(self.base.index, |(index, _)| *index)
     }
 
-    /// Appends an entry, and removes all entries from its index on before.
+    /// Removes all entries from the new entry's index on, then appends it.
     pub fn push(&mut self, entry: Entry) {
         let index = entry.position.index;
         while self.last().index >= index && self.entries.pop_back().is_some() {}
--- a/crates/store/src/position.rs
+++ b/crates/store/src/position.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// An entry's term and index; a log is as up to date as the position of its last entry is high.
+/// An entry's term and index; of two logs, the one whose last entry has the higher position is more
+/// up to date.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct Position {
--- a/crates/store/src/proposal.rs
+++ b/crates/store/src/proposal.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Proposes a publication. One that changes nothing is answered at once: the ledger holds
-    /// committed state only.
+    /// Proposes a publication. One that would change nothing is answered at once, which is safe
+    /// because the ledger holds only committed state.
     pub(crate) fn propose_publication(&mut self, publication: Publication, token: Token) {
         match self.ledger.compare(&publication) {
             Some(known) => self.answer(token, Answer::Published(known)),
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Whether a membership change may start: the previous one and an entry of the leader's own
-    /// term are committed.
+    /// Whether a leader may start a membership change: the previous one and an entry of its own
+    /// term are committed. True for other roles, whose requests `propose` refuses.
     pub(crate) fn can_change_members(&self) -> bool {
         match &self.role {
             Role::Leader(leader) => {
@@ -97,10 +97,10 @@
             return self.refuse(token, Code::NoLeader, "this store does not lead");
         }
         let index = self.append(payload);
-        self.await_commit(index, token);
+        self.add_pending(index, token);
     }
 
-    fn await_commit(&mut self, index: Index, token: Token) {
+    fn add_pending(&mut self, index: Index, token: Token) {
         if let Role::Leader(leader) = &mut self.role {
             leader.pending.insert(index, token);
         }
--- a/crates/store/src/raft.rs
+++ b/crates/store/src/raft.rs
@@ -182,16 +182,16 @@
     /// that a leader reported as committed, or it leads with a quorum and has committed an entry of
     /// its own term.
     pub fn current(&self, now: Duration) -> bool {
-        let started = match &self.role {
+        let caught_up = match &self.role {
             Role::Leader(leader) => leader.start_index <= self.commit,
             Role::Candidate(_) | Role::Follower | Role::PreCandidate(_) => {
                 self.last_contact.is_some() && self.applied >= self.leader_commit
             }
         };
-        started && self.confirmed(now)
+        caught_up && self.confirmed(now)
     }
 
-    /// Whether the store should request to join: it is not a member as far as it knows, or it has
+    /// Whether the store should request to join: it is not a member according to its log, or it has
     /// no contact with a leader, for example because it was replaced while it was unreachable.
     pub fn needs_join(&self, now: Duration) -> bool {
         self.log.members().get(self.id).is_none() || !(self.leads() || self.confirmed(now))
@@ -274,8 +274,8 @@
     }
 
     /// Draws the time of the next election. A store without contact with a leader since its start
-    /// has no leader's timeout to wait for and uses a short timeout, which doubles with each
-    /// election, so that stores with a long delay between them can elect one, too.
+    /// has no leader's timeout to wait for and uses a short timeout, which doubles each time it
+    /// expires, so that stores with a long delay between them can elect one, too.
     pub(crate) fn reset_deadline(&mut self) {
         let wait = match self.last_contact {
             Some(_) => self.timing.election_timeout,
@@ -287,8 +287,8 @@
                 doubled.min(self.timing.election_timeout)
             }
         };
-        let spread = wait.mul_f64(self.random.random::<f64>());
-        self.election_deadline = self.now + wait + spread;
+        let jitter = wait.mul_f64(self.random.random::<f64>());
+        self.election_deadline = self.now + wait + jitter;
     }
 
     /// The state on disk once all actions returned so far are carried out.
--- a/crates/store/src/timing.rs
+++ b/crates/store/src/timing.rs
@@ -9,8 +9,8 @@
     /// drawn between one and two times this value. A leader steps down after this time without
     /// contact with a quorum.
     pub election_timeout: Duration,
-    /// The same for a store without contact with a leader since its start. It doubles with each
-    /// election, up to `election_timeout`. It can be short, a few one-way delays between data
+    /// The same for a store without contact with a leader since its start. It doubles each time it
+    /// expires, up to `election_timeout`. It can be short, a few one-way delays between data
     /// centres of one region, because the pre-vote keeps an early candidate from disturbing a
     /// leader.
     pub first_timeout: Duration,
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Version of one section; 0 means that the section does not exist.
+/// Version of one section; 0 if the section has never existed.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct Version(pub u64);
--- a/crates/store/src/voters.rs
+++ b/crates/store/src/voters.rs
@@ -61,25 +61,26 @@
         let spread = Spread::new(members, &self.centres);
         let voters = || members.0.iter().filter(|member| member.voter);
         let learners = || members.0.iter().filter(|member| !member.voter);
-        let silent = voters().find(|voter| self.silence(voter.id) > delay);
+        let silent_voter = voters().find(|voter| self.silence(voter.id) > delay);
         let critical = voters()
             .filter(|voter| voter.id != self.id && spread.is_critical(voter))
             .max_by_key(|voter| spread.centre_voters(voter));
         let caught_up = learners()
             .filter(|learner| self.is_caught_up(learner.id))
             .min_by_key(|learner| spread.centre_voters(learner));
-        let stale = learners()
+        let silent_learner = learners()
             .map(|learner| learner.id)
             .find(|id| self.silence(*id) > delay * LEARNER_DELAY_FACTOR);
         let balances =
             |learner, voter| spread.centre_voters(learner) + 1 < spread.centre_voters(voter);
-        let replaced = silent.or(critical);
-        match (replaced, caught_up, stale) {
+        let replaced = silent_voter.or(critical);
+        match (replaced, caught_up, silent_learner) {
             (_, Some(learner), _) if voters().count() < wanted => {
                 Some(members.with_voter(learner.id))
             }
             (Some(voter), Some(learner), _)
-                if voters().count() == wanted && (silent.is_some() || balances(learner, voter)) =>
+                if voters().count() == wanted
+                    && (silent_voter.is_some() || balances(learner, voter)) =>
             {
                 Some(members.with_voter(learner.id))
             }
--- a/crates/store/tests/cluster.rs
+++ b/crates/store/tests/cluster.rs
@@ -275,7 +275,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut sim = Simulation::founded(count, 3, timing());
     let numbers = all(&sim);
-    let (mut token, mut version, mut fresh) = (0, 0, 1_000);
+    let (mut token, mut version, mut last_id) = (0, 0, 1_000);
     let mut pending: Vec<(Token, usize, Request)> = Vec::new();
     let mut acknowledged = 0;
     for round in 0..12 {
@@ -314,8 +314,8 @@
                 194..197 => sim.crash(any),
                 197 if wipes > 0 => {
                     wipes -= 1;
-                    fresh += 1;
-                    sim.wipe(any, StoreId(fresh));
+                    last_id += 1;
+                    sim.wipe(any, StoreId(last_id));
                 }
                 _ => sim.tick(any),
             }
--- a/crates/store/tests/explore.rs
+++ b/crates/store/tests/explore.rs
@@ -23,7 +23,7 @@
 /// An explored state. States that behave alike are equal; breadth-first search finds each one at
 /// its minimum depth.
 #[derive(Clone, Debug)]
-struct Step {
+struct State {
     crashes: usize,
     depth: usize,
     edits: u64,
@@ -31,22 +31,22 @@
     sim: Simulation,
 }
 
-impl PartialEq for Step {
+impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
         (self.fingerprint, self.crashes, self.edits)
             == (other.fingerprint, other.crashes, other.edits)
     }
 }
 
-impl Eq for Step {}
+impl Eq for State {}
 
-impl Hash for Step {
+impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
         (self.fingerprint, self.crashes, self.edits).hash(state);
     }
 }
 
-impl Step {
+impl State {
     fn new(sim: Simulation) -> Self {
         Self {
             crashes: 0,
@@ -74,28 +74,28 @@
             return next;
         }
         for index in 0..self.sim.network.len() {
-            next.push(self.next(|step| step.sim.deliver(index)));
+            next.push(self.next(|state| state.sim.deliver(index)));
         }
         if self.sim.timing.voters.is_some() {
-            next.push(self.next(|step| step.sim.join()));
+            next.push(self.next(|state| state.sim.join()));
         }
         for number in 0..self.sim.nodes.len() {
-            next.push(self.next(|step| step.sim.tick(number)));
+            next.push(self.next(|state| state.sim.tick(number)));
             if self.crashes == 0 {
-                next.push(self.next(|step| {
-                    step.crashes += 1;
-                    step.sim.crash(number);
+                next.push(self.next(|state| {
+                    state.crashes += 1;
+                    state.sim.crash(number);
                 }));
-                next.push(self.next(|step| {
-                    step.crashes += 1;
-                    step.sim.wipe(number, StoreId(100));
+                next.push(self.next(|state| {
+                    state.crashes += 1;
+                    state.sim.wipe(number, StoreId(100));
                 }));
             }
             if self.edits == 0 && self.sim.nodes[number].raft.leads() {
-                next.push(self.next(|step| {
-                    step.edits += 1;
+                next.push(self.next(|state| {
+                    state.edits += 1;
                     let edit = simulation::edit("explored", 0);
-                    step.sim.event(number, Event::Edit(edit, Token(9)));
+                    state.sim.event(number, Event::Edit(edit, Token(9)));
                 }));
             }
         }
@@ -105,14 +105,14 @@
 
 /// Number of distinct states up to the depth, or the first violation found.
 fn explore(sim: Simulation, depth: usize) -> Result<usize, String> {
-    explore_from(Step::new(sim), depth)
+    explore_from(State::new(sim), depth)
 }
 
-fn explore_from(first: Step, depth: usize) -> Result<usize, String> {
+fn explore_from(first: State, depth: usize) -> Result<usize, String> {
     let mut count = 0;
-    for step in bfs_reach(first, |step| step.successors(depth)) {
+    for state in bfs_reach(first, |state| state.successors(depth)) {
         count += 1;
-        if let Some(violation) = step.sim.violation {
+        if let Some(violation) = state.sim.violation {
             return Err(violation);
         }
     }
@@ -177,10 +177,10 @@
 
 #[test]
 fn explore_disk_lost() {
-    let mut step = Step::new(disk_lost());
+    let mut state = State::new(disk_lost());
     // Only one disk may be lost at a time, and one already is.
-    step.crashes = 1;
-    let count = explore_from(step, 8).unwrap();
+    state.crashes = 1;
+    let count = explore_from(state, 8).unwrap();
     println!("{count} states from a lost disk to depth 8");
 }
 
@@ -191,7 +191,7 @@
     let mut sim = disk_lost();
     sim.fault = Fault::LostEntries;
     sim.crash(0);
-    let violation = explore_from(Step::new(sim), 8).unwrap_err();
+    let violation = explore_from(State::new(sim), 8).unwrap_err();
     assert!(violation.starts_with("lost"), "{violation}");
 }
 
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn explore_forgotten_entries() {
+fn explore_lost_entries() {
     let mut sim = committed();
     sim.fault = Fault::LostEntries;
     let violation = explore(sim, 7).unwrap_err();
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -50,18 +50,18 @@
 
 /// A folder with three synced batches, and the end offsets of the first two.
 fn filled() -> (TempDir, [u64; 2]) {
-    let folder = TempDir::new().unwrap();
-    let (mut files, saved) = open(folder.path()).unwrap();
+    let dir = TempDir::new().unwrap();
+    let (mut folder, saved) = open(dir.path()).unwrap();
     assert_eq!(saved, Saved::default());
-    let log = folder.path().join("log");
-    files
+    let log = dir.path().join("log");
+    folder
         .append(&[Record::Cluster(ClusterId(3)), ballot(1)])
         .unwrap();
     let first = fs::metadata(&log).unwrap().len();
-    files.append(&[entry(1), entry(2)]).unwrap();
+    folder.append(&[entry(1), entry(2)]).unwrap();
     let second = fs::metadata(&log).unwrap().len();
-    files.append(&[entry(3), ballot(2)]).unwrap();
-    (folder, [first, second])
+    folder.append(&[entry(3), ballot(2)]).unwrap();
+    (dir, [first, second])
 }
 
 fn flip_bit(path: &Path, offset: u64) {
@@ -71,10 +71,10 @@
 }
 
 #[test]
-fn open_held_records() {
-    let (folder, _) = filled();
-    let (files, saved) = Folder::open(folder.path(), StoreId(6)).unwrap();
-    assert_eq!(files.id(), StoreId(5));
+fn open_existing_folder() {
+    let (dir, _) = filled();
+    let (folder, saved) = Folder::open(dir.path(), StoreId(6)).unwrap();
+    assert_eq!(folder.id(), StoreId(5));
     assert_eq!(saved.ballot.term, Term(2));
     assert_eq!(saved.cluster, Some(ClusterId(3)));
     assert_eq!(saved.entries.len(), 3);
@@ -82,87 +82,87 @@
 
 #[test]
 fn open_torn_tail() {
-    let (folder, [_, second]) = filled();
-    let log = folder.path().join("log");
+    let (dir, [_, second]) = filled();
+    let log = dir.path().join("log");
     let whole = fs::read(&log).unwrap();
     for length in second as usize..whole.len() {
         fs::write(&log, &whole[..length]).unwrap();
-        let (mut files, saved) = open(folder.path()).unwrap();
+        let (mut folder, saved) = open(dir.path()).unwrap();
         assert_eq!((saved.entries.len(), saved.ballot.term), (2, Term(1)));
-        files.append(&[entry(3)]).unwrap();
-        drop(files);
-        assert_eq!(open(folder.path()).unwrap().1.entries.len(), 3);
+        folder.append(&[entry(3)]).unwrap();
+        drop(folder);
+        assert_eq!(open(dir.path()).unwrap().1.entries.len(), 3);
     }
 }
 
 #[test]
 fn open_zeroed_tail() {
-    let (folder, _) = filled();
-    let log = folder.path().join("log");
+    let (dir, _) = filled();
+    let log = dir.path().join("log");
     let mut file = fs::OpenOptions::new().append(true).open(log).unwrap();
     file.write_all(&[0; 100]).unwrap();
-    assert_eq!(open(folder.path()).unwrap().1.entries.len(), 3);
+    assert_eq!(open(dir.path()).unwrap().1.entries.len(), 3);
 }
 
 #[test]
 fn open_damaged_record() {
-    let (folder, [first, second]) = filled();
-    let log = folder.path().join("log");
+    let (dir, [first, second]) = filled();
+    let log = dir.path().join("log");
     let whole = fs::read(&log).unwrap();
     for at in first..second {
         fs::write(&log, &whole).unwrap();
         flip_bit(&log, at);
-        match open(folder.path()) {
+        match open(dir.path()) {
             Err(Error::Damaged { offset, path }) => {
                 assert_eq!((offset, &path), (first, &log), "byte {at}");
             }
             other => panic!("byte {at}: {other:?}"),
         }
     }
-    let text = open(folder.path()).unwrap_err().to_string();
+    let text = open(dir.path()).unwrap_err().to_string();
     assert_eq!(text, format!("{log:?} is damaged at byte {first}"));
 }
 
 #[test]
 fn open_lost_file() {
     for name in ["log", "store"] {
-        let (folder, _) = filled();
-        fs::remove_file(folder.path().join(name)).unwrap();
-        let error = open(folder.path()).unwrap_err();
+        let (dir, _) = filled();
+        fs::remove_file(dir.path().join(name)).unwrap();
+        let error = open(dir.path()).unwrap_err();
         assert!(matches!(error, Error::Damaged { .. }), "{name}: {error}");
     }
 }
 
 #[test]
 fn open_emptied_log() {
-    let (folder, _) = filled();
-    fs::write(folder.path().join("log"), b"").unwrap();
-    let error = open(folder.path()).unwrap_err();
+    let (dir, _) = filled();
+    fs::write(dir.path().join("log"), b"").unwrap();
+    let error = open(dir.path()).unwrap_err();
     assert!(matches!(error, Error::Damaged { offset: 0, .. }));
 }
 
 #[test]
 fn open_other_format() {
-    let (folder, _) = filled();
-    flip_bit(&folder.path().join("log"), 7);
-    let error = open(folder.path()).unwrap_err();
+    let (dir, _) = filled();
+    flip_bit(&dir.path().join("log"), 7);
+    let error = open(dir.path()).unwrap_err();
     assert!(matches!(error, Error::Damaged { offset: 0, .. }));
 }
 
 #[test]
 fn open_used_folder() {
-    let (folder, _) = filled();
-    let held = open(folder.path()).unwrap();
-    let error = open(folder.path()).unwrap_err();
+    let (dir, _) = filled();
+    let held = open(dir.path()).unwrap();
+    let error = open(dir.path()).unwrap_err();
     assert!(matches!(error, Error::Locked { .. }));
     drop(held);
-    open(folder.path()).unwrap();
+    open(dir.path()).unwrap();
 }
 
 #[test]
 fn replace_snapshot() {
-    let (folder, _) = filled();
-    let (mut files, mut saved) = open(folder.path()).unwrap();
+    let (dir, _) = filled();
+    let (mut folder, mut saved) = open(dir.path()).unwrap();
     saved.snapshot = Some(EncodedSnapshot {
         bytes: [1, 2, 3].into(),
         position: position(2),
@@ -170,35 +170,35 @@
     saved
         .entries
         .retain(|entry| entry.position.index > Index(2));
-    files.replace(&saved).unwrap();
-    files.append(&[entry(4)]).unwrap();
-    drop(files);
-    let (_, held) = open(folder.path()).unwrap();
+    folder.replace(&saved).unwrap();
+    folder.append(&[entry(4)]).unwrap();
+    drop(folder);
+    let (_, held) = open(dir.path()).unwrap();
     assert_eq!(held.snapshot, saved.snapshot);
     assert_eq!(held.ballot, saved.ballot);
     assert_eq!(held.entries.len(), 2);
-    fs::remove_file(folder.path().join("snapshot")).unwrap();
-    let error = open(folder.path()).unwrap_err();
+    fs::remove_file(dir.path().join("snapshot")).unwrap();
+    let error = open(dir.path()).unwrap_err();
     assert!(matches!(error, Error::Damaged { .. }), "{error}");
 }
 
 #[test]
 fn replace_interrupted() {
-    let (folder, _) = filled();
-    let (mut files, mut saved) = open(folder.path()).unwrap();
-    let log = folder.path().join("log");
+    let (dir, _) = filled();
+    let (mut folder, mut saved) = open(dir.path()).unwrap();
+    let log = dir.path().join("log");
     let before = fs::read(&log).unwrap();
     saved.snapshot = Some(EncodedSnapshot {
         bytes: [1, 2, 3].into(),
         position: position(2),
     });
-    files.replace(&saved).unwrap();
-    drop(files);
+    folder.replace(&saved).unwrap();
+    drop(folder);
     // The snapshot has been replaced, but the log has not.
     fs::write(&log, before).unwrap();
-    fs::write(folder.path().join("log.new"), b"part").unwrap();
-    let (_, held) = open(folder.path()).unwrap();
+    fs::write(dir.path().join("log.new"), b"part").unwrap();
+    let (_, held) = open(dir.path()).unwrap();
     assert_eq!(held.snapshot, saved.snapshot);
-    let indices: Vec<_> = held.entries.iter().map(|entry| entry.position).collect();
-    assert_eq!(indices, [position(3)]);
+    let positions: Vec<_> = held.entries.iter().map(|entry| entry.position).collect();
+    assert_eq!(positions, [position(3)]);
 }
--- a/crates/store/tests/raft.rs
+++ b/crates/store/tests/raft.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn snapshot_many_parts() {
+fn snapshot_many_chunks() {
     let mut sim = with_leader(3, Timing::new().with_snapshot(4));
     for number in 0..12 {
         let mut large = edit(&format!("e{number}"), number);
@@ -184,7 +184,7 @@
         sim.tick(2);
         sim.deliver_all(&[1, 2]);
     }
-    assert_eq!(sim.leader(), None, "the wiped store gave a vote");
+    assert_eq!(sim.leader(), None, "the wiped store granted a vote");
     sim.tick(0);
     sim.deliver_all(&[0, 1, 2]);
     heartbeats(&mut sim, &[0, 1, 2]);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn receive_other_log() {
+fn receive_other_cluster() {
     let mut sim = with_leader(3, Timing::new());
     let other = Message {
         body: Body::Vote {
@@ -313,7 +313,7 @@
         sim.deliver(index);
     }
     assert_eq!(sim.leader(), Some(0));
-    let held = Message {
+    let response = Message {
         body: Body::Appended {
             matched: earlier,
             round: 0,
@@ -323,7 +323,7 @@
         term: sim.nodes[0].raft.term(),
         to: id(0),
     };
-    sim.event(0, Event::Message(held));
+    sim.event(0, Event::Message(response));
     assert!(sim.nodes[0].raft.commit() < earlier);
 }
 
--- a/crates/store/tests/spread.rs
+++ b/crates/store/tests/spread.rs
@@ -33,8 +33,8 @@
     let members = sim.nodes[leader].raft.members();
     let mut counts = BTreeMap::new();
     for (number, centre) in centres.iter().enumerate() {
-        let votes = members.is_voter(sim.nodes[number].raft.id());
-        *counts.entry(*centre).or_default() += usize::from(votes);
+        let voter = members.is_voter(sim.nodes[number].raft.id());
+        *counts.entry(*centre).or_default() += usize::from(voter);
     }
     counts
 }
