--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -16,6 +16,7 @@
 
 /// Sends one edit for each section of the file that differs from the one in force.
 ///
+/// With `--id`, sends unchanged sections too, to learn the outcome of an earlier edit with that id.
 /// Sections that the file does not contain stay unchanged.
 ///
 /// # Errors
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -113,7 +113,7 @@
 
     /// Sends a request to the first instance that a connection can be established to.
     ///
-    /// Only connecting is tried again at the next instance; a request is sent once.
+    /// If connecting fails, tries the next instance. The request itself is sent at most once.
     async fn send<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -190,13 +190,20 @@
     mut sender: SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
 ) -> Result<T, Error> {
-    let lost = |error: hyper::Error| Error::Lost {
+    let lost_connection = |error: hyper::Error| Error::LostConnection {
         cause: error.to_string().into(),
         instance,
     };
-    let response = sender.send_request(request).await.map_err(lost)?;
+    let response = sender
+        .send_request(request)
+        .await
+        .map_err(lost_connection)?;
     let status = response.status();
-    let body = response.into_body().collect().await.map_err(lost)?;
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .map_err(lost_connection)?;
     let body = body.to_bytes();
     if !status.is_success() {
         let text = String::from_utf8_lossy(&body);
--- a/crates/cli/src/edits.rs
+++ b/crates/cli/src/edits.rs
@@ -18,6 +18,8 @@
 const ATTEMPTS: usize = 2;
 
 /// Returns the id given by the operator, or a random one.
+///
+/// The id of an edit is this id, followed by `/` and the name of the section.
 pub fn id(given: Option<&String>) -> String {
     match given {
         Some(id) => id.clone(),
@@ -25,12 +27,12 @@
     }
 }
 
-/// Sends an edit, resends it with the same id if the response is lost, and reports the outcome.
+/// Sends an edit, resends it with the same id if its outcome is unknown, and reports the outcome.
 ///
 /// # Errors
 ///
-/// [`Error::Unknown`] if no attempt gave a conclusive response, or any failure before the edit was
-/// sent.
+/// [`Error::UnknownOutcome`] if no attempt gave a conclusive response, or any other failure of the
+/// first attempt, such as an unreachable instance or a refused request.
 pub async fn send(client: &Client, edit: &Edit, id: &str, json: bool) -> Result<Exit, Error> {
     let outcome = submit(client, edit, id).await?;
     if json {
@@ -56,7 +58,7 @@
                 code: Code::EditUnknown,
                 ..
             })
-            | Err(Error::Response { .. } | Error::Lost { .. } | Error::Timeout(_)) => {
+            | Err(Error::Response { .. } | Error::LostConnection { .. } | Error::Timeout(_)) => {
                 uncertain = true
             }
             Ok(outcome) if !uncertain || !inconclusive(&outcome) => return Ok(outcome),
@@ -64,13 +66,13 @@
             Ok(_) | Err(_) => {}
         }
     }
-    Err(Error::Unknown {
+    Err(Error::UnknownOutcome {
         id: id.into(),
         section: edit.section.clone(),
     })
 }
 
-/// Whether an outcome leaves open if an earlier attempt was applied.
+/// Returns whether an outcome does not show if an earlier attempt was applied.
 const fn inconclusive(outcome: &Outcome) -> bool {
     matches!(
         outcome,
--- a/crates/cli/src/endpoints.rs
+++ b/crates/cli/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! `mimosausher endpoints`: lists the endpoints that an instance knows.
+//! `mimosausher endpoints`: lists the endpoints known to an instance.
 
 use wire::Announcement;
 
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -40,7 +40,7 @@
     },
     /// The connection failed while the request was sent or the response received.
     #[error("connection to {instance} failed before the response was complete: {cause}")]
-    Lost {
+    LostConnection {
         /// Error from the HTTP connection.
         cause: Box<str>,
         /// Admin address of the instance.
@@ -57,7 +57,7 @@
         /// Result code, meaning and advice; the HTTP status and body if the body has another form.
         reason: Box<str>,
     },
-    /// The request could not be encoded.
+    /// The URI, the headers or the body of the request could not be encoded.
     #[error("cannot build the request: {0}")]
     Request(Box<dyn std::error::Error + Send + Sync>),
     /// The instance's response could not be decoded.
@@ -88,7 +88,7 @@
         "the outcome of the edit of section `{section}` is not known; \
          resend it with `--id {id}` to learn it"
     )]
-    Unknown {
+    UnknownOutcome {
         /// Id to resend the edit with.
         id: Box<str>,
         /// Name of the section.
@@ -97,7 +97,7 @@
     /// No connection to the instance could be established; the request was not sent.
     #[error("{instance} cannot be reached: {cause}")]
     Unreachable {
-        /// Error from the operating system, TLS or HTTP.
+        /// Error from the operating system, TLS or HTTP, or `timed out`.
         cause: Box<str>,
         /// Admin address of the instance.
         instance: SocketAddr,
@@ -116,7 +116,7 @@
     /// Returns the exit code of the command.
     pub const fn exit(&self) -> Exit {
         match self {
-            Self::Lost { .. }
+            Self::LostConnection { .. }
             | Self::Request(_)
             | Self::Response { .. }
             | Self::Runtime(_)
@@ -130,7 +130,7 @@
             | Self::Version { .. } => Exit::File,
             Self::Exclusive(..) | Self::Missing(_) | Self::Store(_) => Exit::Usage,
             Self::Refused { .. } => Exit::Refused,
-            Self::Unknown { .. } => Exit::Unknown,
+            Self::UnknownOutcome { .. } => Exit::UnknownOutcome,
         }
     }
 }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -5,7 +5,7 @@
 /// Outcome of a command, as an exit code.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// No instance could be reached, or the request failed: 1.
+    /// No instance could be reached, or the request or the runtime failed: 1.
     Failure,
     /// An invalid or unusable file, or a section or version that does not exist: 3.
     File,
@@ -14,7 +14,7 @@
     /// The command succeeded: 0.
     Success,
     /// The outcome of an edit is unknown: 5.
-    Unknown,
+    UnknownOutcome,
     /// The command line is invalid: 2.
     Usage,
 }
@@ -27,7 +27,7 @@
             Exit::Usage => 2,
             Exit::File => 3,
             Exit::Refused => 4,
-            Exit::Unknown => 5,
+            Exit::UnknownOutcome => 5,
         })
     }
 }
--- a/crates/cli/src/get.rs
+++ b/crates/cli/src/get.rs
@@ -16,7 +16,8 @@
 ///
 /// # Errors
 ///
-/// Any failure of the request, or [`Error::Section`] if there is no such section.
+/// Any failure of the request, [`Error::Section`] if there is no such section, or [`Error::Toml`]
+/// if the text of a section is not valid TOML.
 pub async fn run(client: Client, options: &Get, json: bool) -> Result<(), Error> {
     let mut sections: Vec<SectionText> = client.get("/v1/document").await?;
     if let Some(name) = &options.section {
--- a/crates/cli/src/key.rs
+++ b/crates/cli/src/key.rs
@@ -19,14 +19,15 @@
 /// Length of a key in bytes, before it is encoded as hex.
 const KEY_BYTES: usize = 32;
 
-/// Permissions of a key file: only its owner may read and write it.
+/// Permissions of an operator's key file: only its owner may read and write it.
 const FILE_MODE: u32 = 0o600;
 
 /// Writes a new key to a file, and prints its `[[key]]` table for the instances' key file.
 ///
 /// # Errors
 ///
-/// [`Error::Key`] if the file already exists or cannot be written.
+/// [`Error::Exclusive`] or [`Error::Missing`] unless exactly one of `--admin` and `--team` is
+/// given, or [`Error::Key`] if the file already exists or cannot be written.
 pub fn run(options: &Key) -> Result<(), Error> {
     let holder = match (&options.admin, &options.team) {
         (Some(_), Some(_)) => return Err(Error::Exclusive("--admin", "--team")),
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -76,7 +76,7 @@
     /// Removes a section.
     #[options(help = "remove a section")]
     Remove(Remove),
-    /// Edits a section back to the text of an older version.
+    /// Restores a section to the text of an older version.
     #[options(help = "edit a section back to the text of an older version")]
     Rollback(Rollback),
     /// Prints the state of the instances.
--- a/crates/cli/src/rollback.rs
+++ b/crates/cli/src/rollback.rs
@@ -1,4 +1,4 @@
-//! `mimosausher rollback`: edits a section back to the text of an older version.
+//! `mimosausher rollback`: restores a section to the text of an older version.
 
 use wire::Edit;
 
--- a/crates/cli/src/section.rs
+++ b/crates/cli/src/section.rs
@@ -27,7 +27,7 @@
 }
 
 impl FileSection {
-    /// Reads the sections of a document file, or the file of the one named section.
+    /// Reads the sections of a document, or the named section from a file with its text alone.
     ///
     /// # Errors
     ///
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Creates a section from its text, without the version line.
+    /// Creates a section from its text; takes the base version from the version line, and removes
+    /// that line.
     fn new(name: &str, text: &str) -> Self {
         let mut base = None;
         let mut body = String::new();
@@ -91,7 +92,7 @@
     }
 }
 
-/// Converts the text of a section to its part of the document, below a version line.
+/// Converts the text of a section to a version line and the section's tables in a document.
 ///
 /// # Errors
 ///
@@ -124,10 +125,10 @@
 
 /// Returns the position in the document of a section's last table.
 fn last_position(table: &Table) -> Option<isize> {
-    let parts = table.iter().map(|(_, item)| match item {
+    let positions = table.iter().map(|(_, item)| match item {
         Item::ArrayOfTables(tables) => tables.iter().filter_map(last_position).max(),
         Item::Table(table) => last_position(table),
         Item::None | Item::Value(_) => None,
     });
-    parts.max().flatten().max(table.position())
+    positions.max().flatten().max(table.position())
 }
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `mimosausher status`: prints the state of all instances that the queried one can reach.
+//! `mimosausher status`: prints the state of all instances known to the queried one.
 
 use wire::{
     MemberStatus,
@@ -15,8 +15,8 @@
 /// Result code of a flow that was reset because its endpoint was gone.
 const FLOW_ENDPOINT_GONE: u16 = codes::Code::FlowEndpointGone.number();
 
-/// Prints a summary, the instances by data centre, and the services' endpoints as known to the
-/// queried instance.
+/// Prints a summary, the instances by data centre, and the number of endpoints of each service in
+/// each state, as known to the queried instance.
 ///
 /// # Errors
 ///
--- a/crates/cli/src/watch.rs
+++ b/crates/cli/src/watch.rs
@@ -22,7 +22,9 @@
     sections: Vec<SectionText>,
 }
 
-/// Prints the revision in force and each later one, with the sections that changed.
+/// Prints the revision in force and later ones, with the sections that were changed or removed.
+///
+/// Of the revisions that come into force between two requests, only the last is printed.
 ///
 /// # Errors
 ///
--- a/crates/cli/tests/harness/mod.rs
+++ b/crates/cli/tests/harness/mod.rs
@@ -188,7 +188,7 @@
     let edit = request.starts_with(b"POST");
     server.write_all(&request[..length]).unwrap();
     let mut response = vec![0; 65_536];
-    // If the instance does not respond yet, the body of the request may come in a second packet.
+    // If the instance does not respond yet, the body of the request may still have to be read.
     server
         .set_read_timeout(Some(Duration::from_millis(200)))
         .unwrap();
--- a/crates/cli/tests/keys.rs
+++ b/crates/cli/tests/keys.rs
@@ -34,18 +34,19 @@
     Daemon::start(cluster.folder(), "entry-keys", &text).unwrap()
 }
 
-/// Creates a key file for a holder; returns the `[[key]]` table for the instances' key file.
-fn key(cluster: &Cluster, kind: &str, name: &str) -> String {
+/// Creates a key for a holder, in a file of the holder's name; returns the `[[key]]` table for the
+/// instances' key file.
+fn key(cluster: &Cluster, option: &str, name: &str) -> String {
     let path = cluster.folder().join(name);
-    Test::new().args(["key", kind, name]).path(&path).run()
+    Test::new().args(["key", option, name]).path(&path).run()
 }
 
 #[test]
 fn key_other_team() {
     let (cluster, _) = cluster();
-    let rows = key(&cluster, "--team", "booking") + &key(&cluster, "--team", "documents");
-    let rows = rows + &key(&cluster, "--admin", "ana");
-    let keys = write_file(&cluster, "keys.toml", &rows);
+    let tables = key(&cluster, "--team", "booking") + &key(&cluster, "--team", "documents");
+    let tables = tables + &key(&cluster, "--admin", "ana");
+    let keys = write_file(&cluster, "keys.toml", &tables);
     let entry = entry(&cluster, &format!("[operators]\nkeys = {keys:?}\n"));
     let admin = entry.address("admin");
     let section = write_file(&cluster, "section.toml", SECTION);
@@ -143,6 +144,7 @@
         return;
     };
     let (cluster, _) = cluster();
+    // The entry is started only to write the settings that the open one is started from.
     let entry = entry(&cluster, "");
     let settings = cluster.folder().join("entry-keys.toml");
     let text = std::fs::read_to_string(settings).unwrap();
--- a/crates/cli/tests/pages.rs
+++ b/crates/cli/tests/pages.rs
@@ -27,7 +27,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn page(name: &str) -> String {
+fn read_page(name: &str) -> String {
     fs::read_to_string(root().join(name)).unwrap()
 }
 
@@ -40,7 +40,7 @@
         .collect()
 }
 
-fn pages() -> Vec<String> {
+fn page_names() -> Vec<String> {
     let folder = fs::read_dir(root().join("docs/operators")).unwrap();
     let mut pages: Vec<_> = folder
         .map(|entry| entry.unwrap().file_name().into_string().unwrap())
@@ -53,8 +53,8 @@
 
 fn revision(instance: SocketAddr) -> u64 {
     let response = call(instance, "GET /v1/status", &[], b"").unwrap();
-    let page: Value = serde_json::from_slice(&response.body).unwrap();
-    page["revision"].as_u64().unwrap()
+    let status: Value = serde_json::from_slice(&response.body).unwrap();
+    status["revision"].as_u64().unwrap()
 }
 
 /// Environment in which the commands of a page are run.
@@ -68,7 +68,7 @@
 impl Shell {
     fn new() -> Self {
         let (cluster, entry) = cluster();
-        let document = blocks(&page("docs/operators/document.md"), "toml");
+        let document = blocks(&read_page("docs/operators/document.md"), "toml");
         fs::write(cluster.folder().join("document.toml"), &document[0]).unwrap();
         Self {
             cluster,
@@ -122,9 +122,9 @@
 #[test]
 fn pages_commands() {
     let mut count = 0;
-    for name in pages() {
+    for name in page_names() {
         let mut shell = Shell::new();
-        for block in blocks(&page(&name), "sh") {
+        for block in blocks(&read_page(&name), "sh") {
             for line in block.lines() {
                 shell.run(line);
                 count += 1;
@@ -138,9 +138,9 @@
 fn pages_files() {
     let (cluster, _) = cluster();
     let mut count = 0;
-    let names = pages().into_iter().chain(["README.md".into()]);
+    let names = page_names().into_iter().chain(["README.md".into()]);
     for name in names {
-        for block in blocks(&page(&name), "toml") {
+        for block in blocks(&read_page(&name), "toml") {
             let path = harness::write_file(&cluster, "block.toml", &block);
             Test::new().arg("check").path(&path).run();
             count += 1;
