--- a/.ci/capacity.py
+++ b/.ci/capacity.py
@@ -19,7 +19,8 @@
 
 
 def number(value):
-    """Three significant digits, in plain notation."""
+    """Formats a value: strings and whole numbers in full, other numbers with three significant
+    digits, or without decimals from 100 on."""
     if isinstance(value, str):
         return value
     if value == int(value):
--- a/.ci/layout.py
+++ b/.ci/layout.py
@@ -1,4 +1,5 @@
-"""Checks what the compiler does not: module documentation, tests only in test files, src/lib.rs in each package."""
+"""Checks what the compiler does not: module documentation, tests only in test files, and src/lib.rs
+in each package of crates/."""
 
 import pathlib
 import subprocess
--- a/.ci/platform.py
+++ b/.ci/platform.py
@@ -1,4 +1,5 @@
-"""Checks that the names of the platform's wire format, settings and HTTP calls occur only in platform/."""
+"""Checks that the names of the platform's wire format, settings and HTTP calls occur only in
+platform/."""
 
 import pathlib
 import re
--- a/.ci/test.py
+++ b/.ci/test.py
@@ -1,7 +1,8 @@
 """Runs all tests and tolerates only the failures listed in KNOWN-RED.txt.
 
-An entry of KNOWN-RED.txt starts with a line `test: BINARY::NAME`; the lines below it give the command, the seed, the
-observed failure and the issue. A listed test that passes is reported, so that its entry can be removed.
+An entry of KNOWN-RED.txt starts with a line `test: BINARY::NAME`; the lines below it give the
+command, the seed, the observed failure and the issue. A listed test that passes is reported, so that
+its entry can be removed.
 """
 
 import pathlib
--- a/models/claims.pml
+++ b/models/claims.pml
@@ -36,7 +36,8 @@
         :: atomic { claimed_by[holder] == NO_CLAIMANT && !complete[holder] -> claimed_by[holder] = self_id }
         :: claimed_by[holder] == self_id && complete[holder] -> grants++
         :: claimed_by[holder] != NO_CLAIMANT -> skip
-        /* The claim or its grant is lost: the holder may retain a claim whose grant is not counted. */
+        /* The claim or its grant is lost: the holder may retain a claim whose grant is not
+         * counted. */
         :: true -> skip
         :: atomic { claimed_by[holder] == NO_CLAIMANT -> claimed_by[holder] = self_id }
         fi
--- a/models/log.pml
+++ b/models/log.pml
@@ -7,9 +7,9 @@
  * Seeded faults, which the check must find: with UNSYNCED, a vote counts before it is on disk; with
  * KEEPS, a store that lost its disk keeps its id and restarts as a founder.
  *
- * With WANTED, leaders maintain that number of voters among WANTED + 1 stores: they demote any voter,
- * since it may have become unresponsive, and promote a store that has caught up. The seeded fault
- * TWICE starts a change before the previous one is committed.
+ * With WANTED, leaders maintain that number of voters among WANTED + 1 stores: they demote any
+ * voter, since it may have become unresponsive, and promote a store that has caught up. The seeded
+ * fault TWICE starts a change before the previous one is committed.
  */
 
 #ifdef WANTED
@@ -39,7 +39,7 @@
 #define ID(i) (i + N * generation[i])
 #define BIT(i) (1 << ID(i))
 #define INDEX(i, k) ((i) * ENTRIES + (k))
-#define LAST(i) log_term[INDEX(i, length[i] - 1)]
+#define LAST_TERM(i) log_term[INDEX(i, length[i] - 1)]
 #define MEMBER_COUNT(m) (((m) & 1) + (((m) >> 1) & 1) + (((m) >> 2) & 1) \
     + (((m) >> 3) & 1) + (((m) >> 4) & 1) + (((m) >> 5) & 1) + (((m) >> 6) & 1) + (((m) >> 7) & 1))
 
@@ -124,7 +124,7 @@
     adopt_term(j, term[i]);
     if
     :: term[j] == term[i] && (vote[j] == NONE || vote[j] == ID(i)) &&
-        (LAST(i) > LAST(j) || (LAST(i) == LAST(j) && length[i] >= length[j])) ->
+        (LAST_TERM(i) > LAST_TERM(j) || (LAST_TERM(i) == LAST_TERM(j) && length[i] >= length[j])) ->
         vote[j] = ID(i);
 #ifndef UNSYNCED
         disk_vote[j] = vote[j];
@@ -198,7 +198,7 @@
     :: else -> break
     od;
     if
-    :: LAST(i) == term[i] &&
+    :: LAST_TERM(i) == term[i] &&
         2 * MEMBER_COUNT(holders & members) > MEMBER_COUNT(members) ->
         k = 0;
         do
