--- a/crates/daemon/benches/config.rs
+++ b/crates/daemon/benches/config.rs
@@ -1,4 +1,4 @@
-//! What an edit costs, and how long no leader accepts edits after the leader's kill.
+//! Commit latency of edits, and the time without a leader after the leader is killed.
 
 #![allow(missing_docs, reason = "a benchmark has no public items")]
 
@@ -17,10 +17,10 @@
     Figure, //
 };
 
-/// Edits of one round.
+/// Number of edits for each cluster size.
 const EDITS: u64 = 300;
 
-/// Kills of one round.
+/// Number of times that the leader is killed.
 const KILLS: usize = 5;
 
 const NAMES: [&str; 5] = ["store-1", "store-2", "store-3", "store-4", "store-5"];
@@ -41,23 +41,23 @@
         })
 }
 
-fn leader(cluster: &Cluster, asked: usize) -> io::Result<usize> {
-    let store = cluster.stores[asked].address("admin");
+fn leader(cluster: &Cluster, queried: usize) -> io::Result<usize> {
+    let store = cluster.stores[queried].address("admin");
     let page = Cluster::await_page(store, "/v1/members", |page| page["leader"].is_string())?;
-    let place = NAMES.iter().position(|name| page["leader"] == *name);
-    place.ok_or_else(|| io::Error::other("no such store"))
+    let position = NAMES.iter().position(|name| page["leader"] == *name);
+    position.ok_or_else(|| io::Error::other("no such store"))
 }
 
-/// Whether the edit from version `base` was accepted.
+/// Sends an edit of version `base`; true if it was accepted.
 fn accepted(cluster: &Cluster, store: usize, id: &str, base: u64) -> io::Result<bool> {
     let text = format!("team = \"bench\"\n# {id}\n");
     let address = cluster.stores[store].address("admin");
-    let answer = Cluster::edit(address, id, "section", base, &text)?;
-    let answer: Value = serde_json::from_slice(&answer.body)?;
-    Ok(answer["accepted"]["version"] == base + 1)
+    let response = Cluster::edit(address, id, "section", base, &text)?;
+    let response: Value = serde_json::from_slice(&response.body)?;
+    Ok(response["accepted"]["version"] == base + 1)
 }
 
-/// Edits one after another, each on a connection of its own, at the leader.
+/// Sends edits to the leader sequentially, each on a new connection.
 fn commits(count: usize) -> io::Result<()> {
     let cluster = cluster(count)?;
     let store = leader(&cluster, 0)?;
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// Kills the leader and sends the same edit to the others until one of them accepts it.
+/// Kills the leader and sends the same edit to the other stores until one of them accepts it.
 fn failover() -> io::Result<()> {
     let mut cluster = cluster(3)?;
     let mut worst = Duration::ZERO;
--- a/crates/daemon/benches/control.rs
+++ b/crates/daemon/benches/control.rs
@@ -1,4 +1,4 @@
-//! Control traffic at the size of one of today's deployments, with real processes on loopback.
+//! Control traffic at the size of a present deployment, with real processes on loopback.
 //!
 //! 8 entries and 5 stores in 4 data centres, and 18 endpoints that announce themselves once a
 //! second to an entry of their data centre.
@@ -19,19 +19,19 @@
     call, //
 };
 
-/// The data centres.
+/// Data centres of the deployment.
 const CENTRES: [&str; 4] = ["porto-a", "porto-b", "braga-a", "gaia-a"];
 
-/// Endpoints of both services.
+/// Number of endpoints.
 const ENDPOINTS: usize = 18;
 
 /// Time between two announcements.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Announcements of each endpoint before the measurement.
-const SETTLING: usize = 15;
+/// Number of announcements of each endpoint before the measurement.
+const WARM_UP: usize = 15;
 
-/// Announcements of each endpoint in the measurement.
+/// Number of announcements of each endpoint during the measurement.
 const MEASURED: usize = 20;
 
 fn cluster() -> Cluster {
@@ -73,7 +73,7 @@
 
 fn main() {
     let cluster = cluster();
-    let entries = cluster.faces("admin");
+    let entries = cluster.addresses("admin");
     let mut announcers = announcers(&entries);
     let mut announce = |times: usize| {
         for _ in 0..times {
@@ -84,7 +84,7 @@
             thread::sleep(INTERVAL.saturating_sub(start.elapsed()));
         }
     };
-    announce(SETTLING);
+    announce(WARM_UP);
     cluster.await_endpoints(ENDPOINTS).unwrap();
     let before: Vec<_> = entries.iter().map(|entry| control_bytes(*entry)).collect();
     let start = Instant::now();
--- a/crates/daemon/benches/path.rs
+++ b/crates/daemon/benches/path.rs
@@ -1,4 +1,4 @@
-//! What one entry costs: packets against a bare relay, requests against the direct way.
+//! Overhead of one entry: packets compared with a bare relay, requests with a direct connection.
 
 #![allow(missing_docs, reason = "a benchmark has no public items")]
 
@@ -24,11 +24,11 @@
 use hdrhistogram::Histogram;
 use standin::{
     Announcer,
-    Answer,
     Cluster,
     Endpoint,
     Figure,
-    datagram,
+    Response,
+    gre_packet,
     pump, //
 };
 
@@ -50,19 +50,19 @@
 endpoints = ["*"]
 "#;
 
-/// Packets that are under way at once.
+/// Number of packets in flight.
 const WINDOW: usize = 32;
 
-/// Packets of one round.
+/// Number of packets in one round.
 const PACKETS: usize = 30_000;
 
-/// Rounds of packets, an odd number; the relay and the entry are taken in turns.
+/// Rounds of packets, alternating between the relay and the entry; odd, so that there is a median.
 const PACKET_ROUNDS: usize = 15;
 
-/// Requests of one round.
+/// Number of requests in one round.
 const REQUESTS: usize = 6_000;
 
-/// Rounds of requests, the two ways taken in turns.
+/// Rounds of requests, alternating between the direct connection and the entry.
 const ROUNDS: usize = 3;
 
 fn main() {
@@ -76,7 +76,7 @@
     let receiver = sink.local_addr().unwrap();
     let desk = Endpoint::start("requests-1", Duration::ZERO).unwrap();
     let updates = Endpoint::start("flows-1", Duration::ZERO).unwrap();
-    let instances = cluster.faces("admin");
+    let instances = cluster.addresses("admin");
     desk.announce(
         Announcer::new("requests-1", "requests", desk.address),
         instances.clone(),
@@ -91,7 +91,7 @@
 fn packets(entry: SocketAddr, sink: &UdpSocket) {
     let relay = relay(sink.local_addr().unwrap());
     let mut rounds: Vec<_> = (0..PACKET_ROUNDS)
-        .map(|_| (rate(relay, sink), rate(entry, sink)))
+        .map(|_| (packet_rate(relay, sink), packet_rate(entry, sink)))
         .collect();
     rounds.sort_by(|one, other| (one.1 / one.0).total_cmp(&(other.1 / other.0)));
     let (bare, ours) = rounds[PACKET_ROUNDS / 2];
@@ -105,19 +105,19 @@
     }
 }
 
-/// Packets a second through `hop` with a window of packets under way.
-fn rate(hop: SocketAddr, sink: &UdpSocket) -> f64 {
+/// Measures packets per second through `hop` with a window of packets in flight.
+fn packet_rate(hop: SocketAddr, sink: &UdpSocket) -> f64 {
     let source = UdpSocket::bind("127.0.0.1:0").unwrap();
     sink.set_read_timeout(Some(Duration::from_millis(200)))
         .unwrap();
     let from = SocketAddrV4::new([127, 0, 0, 1].into(), 9);
     let to = SocketAddrV4::new([203, 0, 113, 10].into(), 4000);
-    let bytes = datagram(from, to, &[0; 36]).unwrap();
+    let bytes = gre_packet(from, to, &[0; 36]).unwrap();
     let send = |_, hop| source.send_to(&bytes, hop);
     pump(hop, sink, (PACKETS, WINDOW), send).unwrap()
 }
 
-/// Starts a relay on the same runtime as the daemon's that looks into no packet.
+/// Starts a relay that forwards packets without parsing them, on the same runtime as the daemon's.
 fn relay(to: SocketAddr) -> SocketAddr {
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
@@ -142,7 +142,7 @@
     let mut rates = [0.0_f64; 2];
     for _ in 0..ROUNDS {
         for (rate, address) in rates.iter_mut().zip([direct, entry]) {
-            let histogram = exchange(address);
+            let histogram = request_latencies(address);
             let case = if address == entry { "entry" } else { "direct" };
             let total = histogram.mean() * histogram.len() as f64 / 1e9;
             *rate = rate.max(histogram.len() as f64 / total);
@@ -159,8 +159,8 @@
     Figure::new("path.request_ratio", "one connection", ours / direct, "").print();
 }
 
-/// Sends requests one after another on one connection; the times are nanoseconds.
-fn exchange(address: SocketAddr) -> Histogram<u64> {
+/// Sends requests sequentially on one connection; returns their latencies in nanoseconds.
+fn request_latencies(address: SocketAddr) -> Histogram<u64> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_nodelay(true).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
@@ -170,8 +170,8 @@
         stream
             .write_all(b"GET / HTTP/1.1\r\nhost: bench.example\r\n\r\n")
             .unwrap();
-        let answer = Answer::read(&mut reader).unwrap();
-        assert_eq!(answer.status, 200);
+        let response = Response::read(&mut reader).unwrap();
+        assert_eq!(response.status, 200);
         let elapsed = start.elapsed().as_nanos().try_into().unwrap();
         histogram.record(elapsed).unwrap();
     }
--- a/crates/daemon/tests/config_disk.rs
+++ b/crates/daemon/tests/config_disk.rs
@@ -1,4 +1,4 @@
-//! Stores whose disk is full or damaged.
+//! Stores with a full disk or a damaged log.
 
 use std::{
     fs,
@@ -28,28 +28,30 @@
     cluster.stores[store].address("admin")
 }
 
-fn log(cluster: &Cluster, store: usize) -> std::path::PathBuf {
+fn log_path(cluster: &Cluster, store: usize) -> std::path::PathBuf {
     let name = &cluster.stores[store].name;
     cluster.folder().join(format!("{name}-data/log"))
 }
 
-/// Lets a store write nothing more to its log.
-fn fill(cluster: &Cluster, store: usize) {
-    let length = fs::metadata(log(cluster, store)).unwrap().len();
-    cluster.stores[store].limit_files(Some(length + 4)).unwrap();
+/// Limits the store's file size, so that it can't append another entry to its log.
+fn fill_disk(cluster: &Cluster, store: usize) {
+    let length = fs::metadata(log_path(cluster, store)).unwrap().len();
+    cluster.stores[store]
+        .limit_file_size(Some(length + 4))
+        .unwrap();
 }
 
-/// Name of the code of a refusal, or `accepted`.
+/// Sends an edit; returns the name of the refusal's code, or `accepted`.
 fn edit(instance: SocketAddr, id: &str, base: u64) -> String {
     let text = format!("team = \"t\"\n# {base}\n");
-    let answer = Cluster::edit(instance, id, "section", base, &text).unwrap();
-    let outcome: Value = serde_json::from_slice(&answer.body).unwrap();
+    let response = Cluster::edit(instance, id, "section", base, &text).unwrap();
+    let outcome: Value = serde_json::from_slice(&response.body).unwrap();
     let code = outcome["refused"]["code"].as_str();
     code.unwrap_or("accepted").to_owned()
 }
 
 /// Sends an edit until it is accepted.
-fn insist(instance: SocketAddr, id: &str, base: u64) {
+fn edit_until_accepted(instance: SocketAddr, id: &str, base: u64) {
     for _ in 0..500 {
         if edit(instance, id, base) == "accepted" {
             return;
@@ -62,25 +64,25 @@
 #[test]
 fn edit_full_disk() {
     let cluster = cluster(1);
-    insist(admin(&cluster, 0), "e1", 0);
-    fill(&cluster, 0);
+    edit_until_accepted(admin(&cluster, 0), "e1", 0);
+    fill_disk(&cluster, 0);
     assert_eq!(edit(admin(&cluster, 0), "e2", 1), "EditUnknown");
     assert_eq!(edit(admin(&cluster, 0), "e3", 1), "StorageFull");
-    let answer = call(admin(&cluster, 0), "GET /healthz", &[], b"").unwrap();
-    assert_eq!(answer.status, 200);
-    cluster.stores[0].limit_files(None).unwrap();
-    insist(admin(&cluster, 0), "e2", 1);
-    insist(admin(&cluster, 0), "e3", 2);
+    let response = call(admin(&cluster, 0), "GET /healthz", &[], b"").unwrap();
+    assert_eq!(response.status, 200);
+    cluster.stores[0].limit_file_size(None).unwrap();
+    edit_until_accepted(admin(&cluster, 0), "e2", 1);
+    edit_until_accepted(admin(&cluster, 0), "e3", 2);
 }
 
 #[test]
 fn edit_full_leader() {
     let cluster = cluster(3);
-    insist(admin(&cluster, 0), "e1", 0);
-    fill(&cluster, 0);
-    insist(admin(&cluster, 1), "e2", 1);
-    insist(admin(&cluster, 2), "e3", 2);
-    cluster.stores[0].limit_files(None).unwrap();
+    edit_until_accepted(admin(&cluster, 0), "e1", 0);
+    fill_disk(&cluster, 0);
+    edit_until_accepted(admin(&cluster, 1), "e2", 1);
+    edit_until_accepted(admin(&cluster, 2), "e3", 2);
+    cluster.stores[0].limit_file_size(None).unwrap();
     Cluster::await_page(admin(&cluster, 0), "/v1/status", |page| {
         page["revision"] == 3
     })
@@ -91,10 +93,10 @@
 fn start_damaged_log() {
     let mut cluster = cluster(1);
     for base in 0..3 {
-        insist(admin(&cluster, 0), &format!("e{base}"), base);
+        edit_until_accepted(admin(&cluster, 0), &format!("e{base}"), base);
     }
     cluster.stores[0].kill().unwrap();
-    let path = log(&cluster, 0);
+    let path = log_path(&cluster, 0);
     let mut bytes = fs::read(&path).unwrap();
     bytes[20] ^= 1;
     fs::write(&path, bytes).unwrap();
--- a/crates/daemon/tests/config_history.rs
+++ b/crates/daemon/tests/config_history.rs
@@ -1,4 +1,4 @@
-//! Histories of concurrent operators, checked for linearizability of each section.
+//! Linearizability of each section under concurrent operators and failures.
 
 use std::{
     fs,
@@ -24,7 +24,7 @@
     Passage,
     Signal,
     call,
-    call_within, //
+    call_with_timeout, //
 };
 use todc_utils::{
     linearizability::{
@@ -40,17 +40,17 @@
 const NAMES: [&str; 3] = ["store-1", "store-2", "store-3"];
 const OPERATORS: usize = 4;
 
-/// Time after which an operator gives up a silent store and resends the edit to another one.
-const SILENCE: Duration = Duration::from_millis(500);
+/// Time that an operator waits for a store before it resends the edit to another one.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Edits that have to be accepted during each failure.
+/// Number of edits that must be accepted during each failure.
 const PROGRESS: usize = 8;
 
 const SECTIONS: [&str; 2] = ["one", "two"];
 
-/// What became of an edit, as its operator saw it.
+/// Outcome of an edit as observed by its operator.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Seen {
+enum Outcome {
     Accepted(u64),
     Conflict(u64),
     Unknown,
@@ -61,13 +61,13 @@
     base: u64,
     id: String,
     section: usize,
-    seen: Seen,
+    outcome: Outcome,
 }
 
-/// A section that only an edit of its present version changes.
-struct Section;
+/// Sequential specification of a section: only an edit of the current version changes it.
+struct SectionModel;
 
-impl Specification for Section {
+impl Specification for SectionModel {
     type Operation = Operation;
     type State = u64;
 
@@ -76,18 +76,18 @@
     }
 
     fn apply(operation: &Operation, version: &u64) -> (bool, u64) {
-        let fits = operation.base == *version;
-        match operation.seen {
-            Seen::Accepted(after) => (fits && after == version + 1, after),
-            Seen::Conflict(found) => (!fits && found == *version, *version),
-            Seen::Unknown => (true, version + u64::from(fits)),
+        let current = operation.base == *version;
+        match operation.outcome {
+            Outcome::Accepted(after) => (current && after == version + 1, after),
+            Outcome::Conflict(found) => (!current && found == *version, *version),
+            Outcome::Unknown => (true, version + u64::from(current)),
         }
     }
 }
 
 type Record = Arc<Mutex<Vec<(usize, Action<Operation>)>>>;
 
-/// Whether each section's part of a history is linearizable.
+/// Whether the history of each section is linearizable.
 fn linearizable(actions: &[(usize, Action<Operation>)]) -> bool {
     (0..SECTIONS.len()).all(|section| {
         let of_section = |action: &Action<Operation>| match action {
@@ -95,7 +95,8 @@
         };
         let actions = actions.iter().filter(|(_, action)| of_section(action));
         let actions: Vec<_> = actions.cloned().collect();
-        actions.is_empty() || WGLChecker::<Section>::is_linearizable(History::from_actions(actions))
+        actions.is_empty()
+            || WGLChecker::<SectionModel>::is_linearizable(History::from_actions(actions))
     })
 }
 
@@ -103,20 +104,20 @@
     format!("team = \"t\"\n# {name} {id}\n")
 }
 
-fn seen(answer: &str) -> Seen {
-    let answer: Value = serde_json::from_str(answer).unwrap_or_default();
-    match answer["refused"]["code"].as_str() {
-        Some("EditConflict") => Seen::Conflict(answer["refused"]["version"].as_u64().unwrap()),
-        Some("EditInvalid") => panic!("{answer}"),
-        Some(_) => Seen::Unknown,
-        None => answer["accepted"]["version"]
+fn parse_outcome(response: &str) -> Outcome {
+    let response: Value = serde_json::from_str(response).unwrap_or_default();
+    match response["refused"]["code"].as_str() {
+        Some("EditConflict") => Outcome::Conflict(response["refused"]["version"].as_u64().unwrap()),
+        Some("EditInvalid") => panic!("{response}"),
+        Some(_) => Outcome::Unknown,
+        None => response["accepted"]["version"]
             .as_u64()
-            .map_or(Seen::Unknown, Seen::Accepted),
+            .map_or(Outcome::Unknown, Outcome::Accepted),
     }
 }
 
-/// Sends one edit, and resends it with its id to one store after the other until it is answered.
-fn send(stores: &[SocketAddr], start: usize, operation: &Operation) -> Seen {
+/// Sends an edit, and resends it under the same id to each store in turn until its outcome is known.
+fn send(stores: &[SocketAddr], start: usize, operation: &Operation) -> Outcome {
     let name = SECTIONS[operation.section];
     for attempt in 0..60 {
         let store = stores[(start + attempt) % stores.len()];
@@ -128,17 +129,23 @@
             "text": text(name, &operation.id),
         });
         let body = edit.to_string();
-        let answer = call_within(SILENCE, store, "POST /v1/edits", &[], body.as_bytes());
-        match answer.map(|answer| seen(&answer.text())) {
-            Ok(Seen::Unknown) | Err(_) => thread::sleep(Duration::from_millis(50)),
-            Ok(seen) => return seen,
+        let response = call_with_timeout(
+            REQUEST_TIMEOUT,
+            store,
+            "POST /v1/edits",
+            &[],
+            body.as_bytes(),
+        );
+        match response.map(|response| parse_outcome(&response.text())) {
+            Ok(Outcome::Unknown) | Err(_) => thread::sleep(Duration::from_millis(50)),
+            Ok(outcome) => return outcome,
         }
     }
-    Seen::Unknown
+    Outcome::Unknown
 }
 
-/// One operator: edits from the version that it saw last. One whose outcome stays unknown goes on
-/// as another process of the history, because the edit may still come into force.
+/// Runs one operator, which edits the version that it saw last. After an unknown outcome it continues
+/// as a new process of the history, because that edit may still be committed.
 fn operate(stores: &[SocketAddr], number: usize, stop: &AtomicBool, record: &Record) {
     let mut bases = [0; SECTIONS.len()];
     let mut process = number;
@@ -152,18 +159,18 @@
             base: bases[section],
             id: format!("o{number}-{count}"),
             section,
-            seen: Seen::Unknown,
+            outcome: Outcome::Unknown,
         };
         let call = Action::Call(operation.clone());
         record.lock().unwrap().push((process, call));
-        operation.seen = send(stores, number + count, &operation);
-        match operation.seen {
-            Seen::Accepted(version) | Seen::Conflict(version) => {
+        operation.outcome = send(stores, number + count, &operation);
+        match operation.outcome {
+            Outcome::Accepted(version) | Outcome::Conflict(version) => {
                 bases[section] = version;
                 let response = Action::Response(operation);
                 record.lock().unwrap().push((process, response));
             }
-            Seen::Unknown => {
+            Outcome::Unknown => {
                 unknown.push((process, Action::Response(operation)));
                 process += OPERATORS;
             }
@@ -173,12 +180,12 @@
     record.lock().unwrap().extend(unknown);
 }
 
-/// Three stores that reach each other through forwarders.
+/// Starts three stores that connect to each other through forwarders.
 fn cluster() -> (Cluster, Vec<Forwarder>) {
     let cluster = NAMES
         .iter()
         .fold(Cluster::new(), |cluster, name| {
-            cluster.and_then(|cluster| cluster.with_bare_store(name, "porto-a"))
+            cluster.and_then(|cluster| cluster.with_nonmember(name, "porto-a"))
         })
         .unwrap();
     let inner = |store: &standin::Daemon| Forwarder::start(store.address("inner")).unwrap();
@@ -190,22 +197,22 @@
         .collect();
     let body = json!({ "stores": stores }).to_string();
     let first = cluster.stores[0].address("admin");
-    let answer = call(first, "POST /v1/init", &[], body.as_bytes()).unwrap();
-    assert_eq!(answer.status, 200, "{}", answer.text());
+    let response = call(first, "POST /v1/init", &[], body.as_bytes()).unwrap();
+    assert_eq!(response.status, 200, "{}", response.text());
     cluster.await_voters(3).unwrap();
     (cluster, links)
 }
 
-/// Place of the leader, as the first store that knows one says.
+/// Index of the leader, according to the first store that reports one.
 fn leader(cluster: &Cluster) -> usize {
     for _ in 0..1000 {
         for store in &cluster.stores {
-            let answer = call(store.address("admin"), "GET /v1/members", &[], b"");
-            let page = answer.map(|answer| answer.text()).unwrap_or_default();
+            let response = call(store.address("admin"), "GET /v1/members", &[], b"");
+            let page = response.map(|response| response.text()).unwrap_or_default();
             let page: Value = serde_json::from_str(&page).unwrap_or_default();
             let named = |name: &&str| page["leader"].as_str() == Some(*name);
-            if let Some(place) = NAMES.iter().position(named) {
-                return place;
+            if let Some(index) = NAMES.iter().position(named) {
+                return index;
             }
         }
         thread::sleep(Duration::from_millis(20));
@@ -213,18 +220,18 @@
     panic!("no leader");
 }
 
-/// Number of accepted edits in a history.
+/// Number of accepted edits in the history.
 fn accepted(record: &Record) -> usize {
     let actions = record.lock().unwrap();
-    let seen = actions.iter().filter(|(_, action)| match action {
+    let accepted = actions.iter().filter(|(_, action)| match action {
         Action::Call(_) => false,
-        Action::Response(operation) => matches!(operation.seen, Seen::Accepted(_)),
+        Action::Response(operation) => matches!(operation.outcome, Outcome::Accepted(_)),
     });
-    seen.count()
+    accepted.count()
 }
 
-/// Waits until some more edits are accepted.
-fn progress(record: &Record) {
+/// Waits until `PROGRESS` more edits are accepted.
+fn await_progress(record: &Record) {
     let start = accepted(record);
     for _ in 0..2000 {
         if accepted(record) >= start + PROGRESS {
@@ -235,9 +242,9 @@
     panic!("only {} edits were accepted", accepted(record) - start);
 }
 
-/// Brings about one failure after the other, and heals each once edits were accepted in spite of it.
-fn disturb(cluster: &mut Cluster, links: &[Forwarder], record: &Record) {
-    let wait = || progress(record);
+/// Injects failures one at a time; each is repaired once enough edits were accepted during it.
+fn inject_failures(cluster: &mut Cluster, links: &[Forwarder], record: &Record) {
+    let wait = || await_progress(record);
     wait();
     let first = leader(cluster);
     cluster.stores[first].kill().unwrap();
@@ -248,10 +255,10 @@
     wait();
     cluster.stores[frozen].signal(Signal::CONT).unwrap();
     for passage in [Passage::Frozen, Passage::Cut] {
-        let place = leader(cluster);
-        links[place].set(passage);
+        let index = leader(cluster);
+        links[index].set(passage);
         wait();
-        links[place].set(Passage::Open);
+        links[index].set(Passage::Open);
         cluster.await_voters(3).unwrap();
     }
     let lost = (leader(cluster) + 1) % 3;
@@ -260,10 +267,10 @@
     fs::remove_dir_all(cluster.folder().join(data)).unwrap();
     cluster.stores[lost].restart().unwrap();
     wait();
-    let asked = cluster.stores[leader(cluster)].address("admin");
-    Cluster::remove(asked, NAMES[lost]).unwrap();
+    let admin = cluster.stores[leader(cluster)].address("admin");
+    Cluster::remove(admin, NAMES[lost]).unwrap();
     let store = json!({"name": NAMES[lost], "inner": links[lost].address});
-    Cluster::add(asked, &store).unwrap();
+    Cluster::add(admin, &store).unwrap();
     cluster.await_voters(3).unwrap();
     wait();
 }
@@ -283,54 +290,54 @@
             let (admins, record, stop) = (&admins, &record, &stop);
             scope.spawn(move || operate(admins, number, stop, record));
         }
-        disturb(&mut cluster, &links, &record);
+        inject_failures(&mut cluster, &links, &record);
         stop.store(true, Ordering::SeqCst);
     });
     let actions = record.lock().unwrap().clone();
-    let taken: Vec<_> = actions
+    let accepted: Vec<_> = actions
         .iter()
         .filter_map(|(_, action)| match action {
-            Action::Response(operation) if matches!(operation.seen, Seen::Accepted(_)) => {
+            Action::Response(operation) if matches!(operation.outcome, Outcome::Accepted(_)) => {
                 Some(operation.clone())
             }
             _ => None,
         })
         .collect();
-    println!("{} actions, {} accepted", actions.len(), taken.len());
+    println!("{} actions, {} accepted", actions.len(), accepted.len());
     assert!(linearizable(&actions), "{actions:#?}");
-    for operation in &taken {
+    for operation in &accepted {
         for start in 0..admins.len() {
             let again = send(&admins, start, operation);
-            assert_eq!(again, operation.seen, "resend of {operation:?}");
+            assert_eq!(again, operation.outcome, "resend of {operation:?}");
         }
     }
 }
 
-fn step(process: usize, id: &str, base: u64, seen: Seen) -> Vec<(usize, Action<Operation>)> {
-    let operation = |seen| Operation {
+fn step(process: usize, id: &str, base: u64, outcome: Outcome) -> Vec<(usize, Action<Operation>)> {
+    let operation = |outcome| Operation {
         base,
         id: id.to_owned(),
         section: 0,
-        seen,
+        outcome,
     };
     vec![
-        (process, Action::Call(operation(Seen::Unknown))),
-        (process, Action::Response(operation(seen))),
+        (process, Action::Call(operation(Outcome::Unknown))),
+        (process, Action::Response(operation(outcome))),
     ]
 }
 
 #[test]
-fn history_deliberately_wrong() {
-    let first = step(0, "a", 0, Seen::Accepted(1));
-    let right = [first.clone(), step(1, "b", 1, Seen::Accepted(2))].concat();
+fn history_not_linearizable() {
+    let first = step(0, "a", 0, Outcome::Accepted(1));
+    let right = [first.clone(), step(1, "b", 1, Outcome::Accepted(2))].concat();
     assert!(linearizable(&right));
-    let twice = [first.clone(), step(1, "b", 0, Seen::Accepted(1))].concat();
+    let twice = [first.clone(), step(1, "b", 0, Outcome::Accepted(1))].concat();
     assert!(!linearizable(&twice));
-    let lost = [first.clone(), step(1, "b", 3, Seen::Conflict(0))].concat();
+    let lost = [first.clone(), step(1, "b", 3, Outcome::Conflict(0))].concat();
     assert!(!linearizable(&lost));
-    let unknown = [first, step(1, "b", 1, Seen::Unknown)].concat();
-    let taken = [unknown.clone(), step(2, "c", 2, Seen::Accepted(3))].concat();
-    assert!(linearizable(&taken));
-    let skipped = [unknown, step(2, "c", 3, Seen::Accepted(4))].concat();
+    let unknown = [first, step(1, "b", 1, Outcome::Unknown)].concat();
+    let accepted = [unknown.clone(), step(2, "c", 2, Outcome::Accepted(3))].concat();
+    assert!(linearizable(&accepted));
+    let skipped = [unknown, step(2, "c", 3, Outcome::Accepted(4))].concat();
     assert!(!linearizable(&skipped));
 }
--- a/crates/daemon/tests/config_stores.rs
+++ b/crates/daemon/tests/config_stores.rs
@@ -1,4 +1,4 @@
-//! Three and more stores as real processes: kill, freeze, lost disk, change of members.
+//! Clusters of three and five stores as real processes: kill, freeze, lost disk, membership change.
 
 use std::{
     net::SocketAddr,
@@ -32,8 +32,8 @@
 }
 
 fn members(instance: SocketAddr) -> Value {
-    let answer = call(instance, "GET /v1/members", &[], b"").unwrap();
-    serde_json::from_slice(&answer.body).unwrap()
+    let response = call(instance, "GET /v1/members", &[], b"").unwrap();
+    serde_json::from_slice(&response.body).unwrap()
 }
 
 fn text(number: u64) -> String {
@@ -43,11 +43,11 @@
     )
 }
 
-/// Sends an edit until it is accepted or refused for good.
+/// Resends an edit until it is accepted or refused with a code that isn't temporary.
 fn edit(instance: SocketAddr, id: &str, base: u64) -> Value {
     for _ in 0..500 {
-        if let Ok(answer) = Cluster::edit(instance, id, "section", base, &text(base)) {
-            let outcome: Value = serde_json::from_slice(&answer.body).unwrap();
+        if let Ok(response) = Cluster::edit(instance, id, "section", base, &text(base)) {
+            let outcome: Value = serde_json::from_slice(&response.body).unwrap();
             let code = outcome["refused"]["code"].as_str();
             if !matches!(code, Some("EditUnknown" | "NoLeader" | "StorageFull")) {
                 return outcome;
@@ -58,9 +58,9 @@
     panic!("{id} got no outcome");
 }
 
-/// Waits for a leader among the stores and returns its place.
-fn leader(cluster: &Cluster, asked: usize) -> usize {
-    let page = Cluster::await_page(admin(cluster, asked), "/v1/members", |page| {
+/// Waits until a store reports a leader with a quorum; returns the leader's index.
+fn leader(cluster: &Cluster, queried: usize) -> usize {
+    let page = Cluster::await_page(admin(cluster, queried), "/v1/members", |page| {
         page["leader"].is_string() && page["confirmed"] == true
     })
     .unwrap();
@@ -111,8 +111,12 @@
         page["confirmed"] == false && page["leader"].is_null()
     })
     .unwrap();
-    let answer = Cluster::edit(admin(&cluster, first), "e1", "section", 0, &text(0)).unwrap();
-    assert!(answer.text().contains("\"NoLeader\""), "{}", answer.text());
+    let response = Cluster::edit(admin(&cluster, first), "e1", "section", 0, &text(0)).unwrap();
+    assert!(
+        response.text().contains("\"NoLeader\""),
+        "{}",
+        response.text()
+    );
     let other = (first + 1) % 3;
     cluster.stores[other].restart().unwrap();
     let accepted = json!({"accepted": {"revision": 1, "version": 1}});
@@ -122,10 +126,10 @@
 #[test]
 fn init_not_done() {
     let cluster = Cluster::new()
-        .and_then(|cluster| cluster.with_bare_store("store-1", "porto-a"))
+        .and_then(|cluster| cluster.with_nonmember("store-1", "porto-a"))
         .unwrap();
-    let answer = Cluster::edit(admin(&cluster, 0), "e1", "section", 0, &text(0)).unwrap();
-    assert!(answer.text().contains("\"NotInitialised\""));
+    let response = Cluster::edit(admin(&cluster, 0), "e1", "section", 0, &text(0)).unwrap();
+    assert!(response.text().contains("\"NotInitialised\""));
     let page = members(admin(&cluster, 0));
     assert_eq!(
         page,
@@ -138,7 +142,7 @@
     let cluster = NAMES[..3]
         .iter()
         .fold(Cluster::new(), |cluster, name| {
-            cluster.and_then(|cluster| cluster.with_bare_store(name, "porto-a"))
+            cluster.and_then(|cluster| cluster.with_nonmember(name, "porto-a"))
         })
         .unwrap();
     let stores: Vec<_> = cluster
@@ -148,8 +152,8 @@
         .collect();
     let body = json!({ "stores": stores }).to_string();
     for _ in 0..2 {
-        let answer = call(admin(&cluster, 1), "POST /v1/init", &[], body.as_bytes()).unwrap();
-        let page: Value = serde_json::from_slice(&answer.body).unwrap();
+        let response = call(admin(&cluster, 1), "POST /v1/init", &[], body.as_bytes()).unwrap();
+        let page: Value = serde_json::from_slice(&response.body).unwrap();
         assert_eq!(page["members"].as_array().unwrap().len(), 3, "{page}");
     }
     cluster.await_voters(3).unwrap();
@@ -166,20 +170,20 @@
     cluster.stores[2].restart().unwrap();
     assert_eq!(members(admin(&cluster, 2))["members"], json!([]));
     let other = leader(&cluster, 0);
-    let asked = admin(&cluster, other);
-    // The wiped store gives no vote: two of three are needed, and one is down.
+    let instance = admin(&cluster, other);
+    // The wiped store must not vote: a quorum is two of three, and one of the other two is down.
     let killed = (0..2).find(|store| *store != other).unwrap();
     cluster.stores[killed].kill().unwrap();
-    Cluster::await_page(asked, "/v1/members", |page| page["confirmed"] == false).unwrap();
+    Cluster::await_page(instance, "/v1/members", |page| page["confirmed"] == false).unwrap();
     thread::sleep(Duration::from_secs(2));
-    assert_eq!(members(asked)["confirmed"], json!(false));
+    assert_eq!(members(instance)["confirmed"], json!(false));
     cluster.stores[killed].restart().unwrap();
-    Cluster::await_page(asked, "/v1/members", |page| page["confirmed"] == true).unwrap();
-    Cluster::remove(asked, "store-3").unwrap();
+    Cluster::await_page(instance, "/v1/members", |page| page["confirmed"] == true).unwrap();
+    Cluster::remove(instance, "store-3").unwrap();
     let store = json!({"name": "store-3", "inner": cluster.stores[2].address("inner")});
-    Cluster::add(asked, &store).unwrap();
+    Cluster::add(instance, &store).unwrap();
     cluster.await_voters(3).unwrap();
-    let after = members(asked);
+    let after = members(instance);
     let id = |page: &Value| {
         let members = page["members"].as_array().unwrap().iter();
         let mut named = members.filter(|member| member["name"] == "store-3");
--- a/crates/daemon/tests/distribution_deltas.rs
+++ b/crates/daemon/tests/distribution_deltas.rs
@@ -1,4 +1,4 @@
-//! What travels from a store to a follower, and what becomes of a silent connection.
+//! Deltas sent from a store to a follower, and idle and silent connections.
 
 use std::{
     io::Read,
@@ -23,13 +23,13 @@
     )
 }
 
-/// Asks a store as a follower does.
+/// Calls `follow` on a store like a follower.
 fn follow(store: SocketAddr, brief: bool, revision: u64) -> Followed {
-    let timers = tokio::runtime::Builder::new_current_thread()
+    let timer_runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
         .unwrap();
-    let _entered = timers.enter();
+    let _entered = timer_runtime.enter();
     compio::runtime::Runtime::new().unwrap().block_on(async {
         let client = wire::connect(store).await.unwrap();
         let follow = Follow {
@@ -42,7 +42,7 @@
     })
 }
 
-fn names(followed: &Followed) -> (Vec<&str>, Vec<&str>, bool) {
+fn changes(followed: &Followed) -> (Vec<&str>, Vec<&str>, bool) {
     let delta = followed.delta.as_ref().unwrap();
     let changed = delta.changed.iter().map(|section| &*section.name).collect();
     let removed = delta.removed.iter().map(|name| &**name).collect();
@@ -59,20 +59,23 @@
     let inner = cluster.stores[0].address("inner");
     for (number, name) in ["a", "b", "c"].iter().enumerate() {
         let text = text(name, name);
-        let answer = Cluster::edit(store, name, name, 0, &text).unwrap();
+        let response = Cluster::edit(store, name, name, 0, &text).unwrap();
         let accepted = format!("\"revision\":{}", number + 1);
-        assert!(answer.text().contains(&accepted), "{}", answer.text());
+        assert!(response.text().contains(&accepted), "{}", response.text());
     }
     assert_eq!(
-        names(&follow(inner, false, 0)),
+        changes(&follow(inner, false, 0)),
         (vec!["a", "b", "c"], vec![], true)
     );
     Cluster::edit(store, "b2", "b", 1, &text("b", "other")).unwrap();
     Cluster::edit(store, "c2", "c", 1, "").unwrap();
     let followed = follow(inner, false, 3);
     assert_eq!((followed.confirmed, followed.revision), (true, 5));
-    assert_eq!(names(&followed), (vec!["b"], vec!["c"], false));
-    assert_eq!(names(&follow(inner, false, 4)), (vec![], vec!["c"], false));
+    assert_eq!(changes(&followed), (vec!["b"], vec!["c"], false));
+    assert_eq!(
+        changes(&follow(inner, false, 4)),
+        (vec![], vec!["c"], false)
+    );
     let followed = follow(inner, true, 3);
     assert_eq!((followed.revision, followed.delta), (5, None));
     cluster.await_revision(5).unwrap();
@@ -80,18 +83,18 @@
         true
     });
     let page = page.unwrap();
-    let shown: Vec<_> = page
+    let listed: Vec<_> = page
         .as_array()
         .unwrap()
         .iter()
         .map(|row| &row["name"])
         .collect();
-    assert_eq!(shown, ["a", "b"]);
+    assert_eq!(listed, ["a", "b"]);
     cluster.stores[0].kill().unwrap();
     cluster.stores[0].restart().unwrap();
     Cluster::await_page(store, "/v1/status", |page| page["revision"] == 5).unwrap();
     assert_eq!(
-        names(&follow(inner, false, 3)),
+        changes(&follow(inner, false, 3)),
         (vec!["a", "b"], vec![], true)
     );
 }
@@ -101,11 +104,11 @@
     let cluster = Cluster::new()
         .and_then(|cluster| cluster.with_store("store-1", "porto-a"))
         .unwrap();
-    let timers = tokio::runtime::Builder::new_current_thread()
+    let timer_runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
         .unwrap();
-    let _entered = timers.enter();
+    let _entered = timer_runtime.enter();
     let store = cluster.stores[0].address("inner");
     compio::runtime::Runtime::new().unwrap().block_on(async {
         let client = wire::connect(store).await.unwrap();
--- a/crates/daemon/tests/distribution_failures.rs
+++ b/crates/daemon/tests/distribution_failures.rs
@@ -1,4 +1,4 @@
-//! Entries follow stores that are frozen, isolated, killed or far ahead, as real processes.
+//! Entries that follow frozen, isolated, killed or far-ahead stores, as real processes.
 
 use std::{
     fs,
@@ -21,7 +21,7 @@
     )
 }
 
-/// Three stores and some entries, with one accepted edit in force.
+/// Starts three stores and some entries, with revision 1 in force.
 fn cluster(entries: usize) -> Cluster {
     let stores = ["store-1", "store-2", "store-3"];
     let cluster = stores.iter().fold(Cluster::new(), |cluster, name| {
@@ -36,39 +36,39 @@
     cluster
 }
 
-/// Sends the edit that follows `base` through an instance until it is accepted.
+/// Resends an edit of version `base` through an instance until it is accepted.
 #[track_caller]
 fn edit(instance: SocketAddr, base: u64) {
     let id = format!("e{base}");
     let accepted = format!("\"revision\":{}", base + 1);
-    await_that(|| {
-        let answer = Cluster::edit(instance, &id, "section", base, &text(base));
-        answer.is_ok_and(|answer| answer.text().contains(&accepted))
+    await_condition(|| {
+        let response = Cluster::edit(instance, &id, "section", base, &text(base));
+        response.is_ok_and(|response| response.text().contains(&accepted))
     });
 }
 
-/// Waits for what has to come about.
+/// Polls until the condition is met, for at least 30 seconds.
 #[track_caller]
-fn await_that(condition: impl Fn() -> bool) {
-    let came = (0..1_500).any(|_| {
-        let came = condition();
-        if !came {
+fn await_condition(condition: impl Fn() -> bool) {
+    let met = (0..1_500).any(|_| {
+        let met = condition();
+        if !met {
             thread::sleep(Duration::from_millis(20));
         }
-        came
+        met
     });
-    assert!(came);
+    assert!(met);
 }
 
 fn revision(instance: SocketAddr) -> u64 {
-    let answer = call(instance, "GET /v1/status", &[], b"").unwrap();
-    let page: Value = serde_json::from_slice(&answer.body).unwrap();
+    let response = call(instance, "GET /v1/status", &[], b"").unwrap();
+    let page: Value = serde_json::from_slice(&response.body).unwrap();
     page["revision"].as_u64().unwrap()
 }
 
 fn ready(instance: SocketAddr) -> bool {
-    let answer = call(instance, "GET /readyz", &[], b"");
-    answer.is_ok_and(|answer| answer.status == 200)
+    let response = call(instance, "GET /readyz", &[], b"");
+    response.is_ok_and(|response| response.status == 200)
 }
 
 fn await_ready(instance: SocketAddr) {
@@ -79,8 +79,8 @@
     fs::read_to_string(cluster.folder().join(format!("{name}.log"))).unwrap()
 }
 
-/// Whether an entry's log says that it left a store.
-fn left(cluster: &Cluster, name: &str, store: SocketAddr) -> bool {
+/// Whether an entry has logged that it stopped following a store.
+fn unfollowed(cluster: &Cluster, name: &str, store: SocketAddr) -> bool {
     log(cluster, name).contains(&format!("the store at {store} is no longer followed"))
 }
 
@@ -88,7 +88,7 @@
 fn follow_frozen_store() {
     let cluster = cluster(1);
     let entry = cluster.entries[0].address("admin");
-    // The entry follows two of the three, so that at least one round freezes what it follows.
+    // The entry follows two of the three stores, so at least one round freezes a followed store.
     for (frozen, store) in cluster.stores.iter().enumerate() {
         let base = revision(entry);
         store.signal(Signal::STOP).unwrap();
@@ -114,8 +114,8 @@
     }
     cluster.await_revision(20).unwrap();
     assert!(revision(cluster.stores[2].address("admin")) < 20);
-    let leaves = |number| left(&cluster, &format!("entry-{number}"), isolated);
-    await_that(|| (0..6).any(leaves));
+    let entry_unfollowed = |number| unfollowed(&cluster, &format!("entry-{number}"), isolated);
+    await_condition(|| (0..6).any(entry_unfollowed));
     for entry in &mut cluster.entries {
         entry.kill().unwrap();
         entry.restart().unwrap();
@@ -140,18 +140,19 @@
     };
     restarted.kill().unwrap();
     restarted.restart().unwrap();
-    // It has asked the one store that answers, and did not take what no quorum confirms.
+    // The entry has tried the only responsive store and must not apply a revision that no quorum
+    // confirms.
     let (kept, restarted) = (kept.address("admin"), restarted.address("admin"));
     let store = cluster.stores[2].address("inner");
-    await_that(|| {
+    await_condition(|| {
         let text = log(&cluster, "entry-1");
         let (_, run) = text.rsplit_once("\"started\"").unwrap();
         run.contains(&format!("the store at {store} is no longer followed"))
     });
     assert_eq!((revision(restarted), ready(restarted)), (0, false));
     assert_eq!((revision(kept), ready(kept)), (1, true));
-    let answer = Cluster::edit(kept, "late", "section", 1, &text(9)).unwrap();
-    let outcome: Value = serde_json::from_slice(&answer.body).unwrap();
+    let response = Cluster::edit(kept, "late", "section", 1, &text(9)).unwrap();
+    let outcome: Value = serde_json::from_slice(&response.body).unwrap();
     assert!(
         ["EditUnknown", "NoLeader"].contains(&outcome["refused"]["code"].as_str().unwrap()),
         "{outcome}"
@@ -164,14 +165,14 @@
 }
 
 #[test]
-fn edit_cut_off_entry() {
+fn edit_without_stores() {
     let mut cluster = cluster(1);
     let entry = cluster.entries[0].address("admin");
     for store in &mut cluster.stores {
         store.kill().unwrap();
     }
-    let answer = Cluster::edit(entry, "late", "section", 1, &text(9)).unwrap();
-    let outcome: Value = serde_json::from_slice(&answer.body).unwrap();
+    let response = Cluster::edit(entry, "late", "section", 1, &text(9)).unwrap();
+    let outcome: Value = serde_json::from_slice(&response.body).unwrap();
     assert_eq!(outcome["refused"]["code"], "NoLeader");
     assert_eq!((revision(entry), ready(entry)), (1, true));
     for store in &mut cluster.stores {
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn restart_after_hundreds() {
+fn restart_after_many_edits() {
     let mut cluster = cluster(2);
     cluster.entries[0].kill().unwrap();
     cluster.entries[1].signal(Signal::STOP).unwrap();
@@ -196,11 +197,11 @@
     await_ready(restarted);
     assert_eq!(revision(restarted), 300);
     cluster.await_revision(300).unwrap();
-    // The store's own page follows the log like an entry's.
+    // The store's own status page reaches the revision, too.
     let latest = |page: &Value| page["revision"].as_u64() >= Some(300);
     Cluster::await_page(store, "/v1/status", latest).unwrap();
     let document = |instance| call(instance, "GET /v1/document", &[], b"").unwrap().text();
-    for entry in cluster.faces("admin") {
+    for entry in cluster.addresses("admin") {
         assert_eq!(document(entry), document(store));
     }
 }
--- a/crates/daemon/tests/distribution_silence.rs
+++ b/crates/daemon/tests/distribution_stalled.rs
@@ -1,4 +1,4 @@
-//! Open connections go silent for good, while new ones to the same store work.
+//! Established connections lose all traffic without being closed, while new connections work.
 
 use std::{
     io::{
@@ -25,7 +25,7 @@
     Daemon, //
 };
 
-/// Passes TCP connections on; those that are open when it freezes stay open and lose all bytes.
+/// Forwards TCP connections; `freeze` leaves the established ones open and drops all their bytes.
 struct Forwarder {
     address: SocketAddr,
     frozen: Arc<AtomicU64>,
@@ -39,11 +39,12 @@
         let shared = frozen.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let near = stream.unwrap();
-                let far = TcpStream::connect(to).unwrap();
-                let (back, forth) = (far.try_clone().unwrap(), near.try_clone().unwrap());
+                let client = stream.unwrap();
+                let server = TcpStream::connect(to).unwrap();
+                let (server_reader, client_writer) =
+                    (server.try_clone().unwrap(), client.try_clone().unwrap());
                 let epoch = shared.load(Ordering::SeqCst);
-                for (from, to) in [(near, far), (back, forth)] {
+                for (from, to) in [(client, server), (server_reader, client_writer)] {
                     let shared = shared.clone();
                     thread::spawn(move || copy(from, to, &shared, epoch));
                 }
@@ -57,13 +58,13 @@
     }
 }
 
-/// Copies bytes, and drops them once the forwarder has frozen after `epoch`.
+/// Copies bytes; drops them once `frozen` exceeds `epoch`, the count when the connection was opened.
 fn copy(mut from: TcpStream, mut to: TcpStream, frozen: &AtomicU64, epoch: u64) {
     let mut bytes = [0; 16_384];
     while let Ok(count) = from.read(&mut bytes) {
         let silent = frozen.load(Ordering::SeqCst) > epoch;
         if count == 0 && silent {
-            // The other end is not told.
+            // Keeps the connection open towards the other end.
             loop {
                 thread::park();
             }
@@ -89,7 +90,7 @@
     let store = cluster.stores[0].address("admin");
     let inner = cluster.stores[0].address("inner");
     let forwarders = [Forwarder::start(inner), Forwarder::start(inner)];
-    // No datagram passes the forwarders, so that the entry knows the store by them alone.
+    // The forwarders carry no datagrams, so the entry knows the store by these addresses alone.
     let seeds: Vec<_> = forwarders
         .iter()
         .map(|one| one.address.to_string())
@@ -102,8 +103,8 @@
     let entry = Daemon::start(cluster.folder(), "entry-1", &settings).unwrap();
     for number in 0..3 {
         let id = format!("e{number}");
-        let answer = Cluster::edit(store, &id, "section", number, &text(number)).unwrap();
-        assert!(answer.text().contains("accepted"), "{}", answer.text());
+        let response = Cluster::edit(store, &id, "section", number, &text(number)).unwrap();
+        assert!(response.text().contains("accepted"), "{}", response.text());
         Cluster::await_page(entry.address("admin"), "/v1/status", |page| {
             page["revision"] == number + 1
         })
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path through real processes on loopback.
+//! End-to-end tests of requests, flows and edits, with real processes on loopback.
 
 use std::{
     io::Write as _,
@@ -14,7 +14,7 @@
 
 use standin::{
     Announcer,
-    Caller,
+    Client,
     Cluster,
     Endpoint,
     Fabric,
@@ -49,8 +49,11 @@
         .and_then(|cluster| cluster.with_entry("entry-2", "porto-a"))
         .unwrap();
     let instance = cluster.entries[0].address("admin");
-    let answer = Cluster::edit(instance, "e1", "booking", 0, SECTION).unwrap();
-    assert_eq!(answer.text(), r#"{"accepted":{"revision":1,"version":1}}"#);
+    let response = Cluster::edit(instance, "e1", "booking", 0, SECTION).unwrap();
+    assert_eq!(
+        response.text(),
+        r#"{"accepted":{"revision":1,"version":1}}"#
+    );
     cluster.await_revision(1).unwrap();
     cluster
 }
@@ -58,7 +61,7 @@
 fn endpoint(cluster: &Cluster, name: &str, service: &str, delay: Duration) -> Endpoint {
     let endpoint = Endpoint::start(name, delay).unwrap();
     let announcer = Announcer::new(name, service, endpoint.address);
-    endpoint.announce(announcer, cluster.faces("admin"));
+    endpoint.announce(announcer, cluster.addresses("admin"));
     endpoint
 }
 
@@ -67,9 +70,9 @@
     let cluster = cluster();
     let desk = endpoint(&cluster, "desk-1", "booking-desk", Duration::ZERO);
     cluster.await_endpoints(1).unwrap();
-    for entry in cluster.faces("requests") {
-        let answer = call(entry, "GET /", &[("host", "booking.example")], b"").unwrap();
-        assert_eq!((answer.status, answer.text().as_str()), (200, "desk-1"));
+    for entry in cluster.addresses("requests") {
+        let response = call(entry, "GET /", &[("host", "booking.example")], b"").unwrap();
+        assert_eq!((response.status, response.text().as_str()), (200, "desk-1"));
     }
     assert_eq!(desk.served().requests.len(), 2);
 }
@@ -82,11 +85,11 @@
         .map(|name| endpoint(&cluster, name, "booking-updates", Duration::ZERO))
         .collect();
     cluster.await_endpoints(3).unwrap();
-    let mut fabric = Fabric::new(&cluster.faces("fabric")).unwrap();
+    let mut fabric = Fabric::new(&cluster.addresses("fabric")).unwrap();
     for _ in 0..16 {
-        let caller = Caller::new(DESTINATION).unwrap();
-        let (_, first) = caller.exchange(&mut fabric).unwrap();
-        let (_, second) = caller.exchange(&mut fabric).unwrap();
+        let client = Client::new(DESTINATION).unwrap();
+        let (_, first) = client.exchange(&mut fabric).unwrap();
+        let (_, second) = client.exchange(&mut fabric).unwrap();
         assert_eq!(first, second);
     }
 }
@@ -97,8 +100,11 @@
     cluster.stores[0].kill().unwrap();
     cluster.stores[0].restart().unwrap();
     let instance = cluster.stores[0].address("admin");
-    let answer = Cluster::edit(instance, "e1", "booking", 0, SECTION).unwrap();
-    assert_eq!(answer.text(), r#"{"accepted":{"revision":1,"version":1}}"#);
+    let response = Cluster::edit(instance, "e1", "booking", 0, SECTION).unwrap();
+    assert_eq!(
+        response.text(),
+        r#"{"accepted":{"revision":1,"version":1}}"#
+    );
 }
 
 #[test]
@@ -111,7 +117,7 @@
     stop_while_running(20);
 }
 
-/// Sends an entry a number of signals while a request runs, which has to be answered whole.
+/// Sends SIGTERM to an entry `signals` times while a request runs; the request must complete.
 fn stop_while_running(signals: usize) {
     let mut cluster = cluster();
     let _desk = endpoint(
@@ -124,8 +130,8 @@
     let entry = cluster.entries[1].address("requests");
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
-        let answer = call(entry, "GET /", &[("host", "booking.example")], b"");
-        sender.send(answer).unwrap();
+        let response = call(entry, "GET /", &[("host", "booking.example")], b"");
+        sender.send(response).unwrap();
     });
     Cluster::await_page(cluster.entries[1].address("admin"), "/v1/status", |page| {
         page["running"].as_u64() == Some(1)
@@ -137,32 +143,32 @@
     }
     let status = cluster.entries[1].stop().unwrap();
     assert!(status.success());
-    let answer = receiver.recv().unwrap().unwrap();
-    assert_eq!(answer.text(), "desk-1");
+    let response = receiver.recv().unwrap().unwrap();
+    assert_eq!(response.text(), "desk-1");
 }
 
 #[test]
 fn refusal_malformed_input() {
     let cluster = cluster();
     let admin = cluster.entries[0].address("admin");
-    let answer = call(admin, "POST /v1/announcements", &[], b"{}").unwrap();
-    assert_eq!(answer.header("mimosausher-code"), Some("4001"));
-    let answer = Cluster::edit(admin, "e2", "booking", 0, "team = 3").unwrap();
-    assert!(answer.text().contains("\"EditConflict\""));
-    let answer = Cluster::edit(admin, "e3", "booking", 1, "team = 3").unwrap();
-    assert!(answer.text().contains("\"EditInvalid\""));
+    let response = call(admin, "POST /v1/announcements", &[], b"{}").unwrap();
+    assert_eq!(response.header("mimosausher-code"), Some("4001"));
+    let response = Cluster::edit(admin, "e2", "booking", 0, "team = 3").unwrap();
+    assert!(response.text().contains("\"EditConflict\""));
+    let response = Cluster::edit(admin, "e3", "booking", 1, "team = 3").unwrap();
+    assert!(response.text().contains("\"EditInvalid\""));
     let fabric = cluster.entries[0].address("fabric");
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.send_to(&[0, 0], fabric).unwrap();
     socket.send_to(&[0, 0, 8, 0, 0x45], fabric).unwrap();
     socket.send_to(&[0, 0, 8, 6, 0x45], fabric).unwrap();
     let requests = cluster.entries[0].address("requests");
-    let answer = call(requests, "GET /", &[("host", "other.example")], b"").unwrap();
-    assert_eq!(answer.header("mimosausher-code"), Some("3002"));
-    assert_eq!(answer.header("mimosausher-run"), Some("not"));
-    let answer = call(requests, "GET /", &[("host", "booking.example")], b"").unwrap();
-    assert_eq!(answer.header("mimosausher-code"), Some("3003"));
-    assert_eq!(answer.header("retry-after"), Some("1"));
+    let response = call(requests, "GET /", &[("host", "other.example")], b"").unwrap();
+    assert_eq!(response.header("mimosausher-code"), Some("3002"));
+    assert_eq!(response.header("mimosausher-run"), Some("not"));
+    let response = call(requests, "GET /", &[("host", "booking.example")], b"").unwrap();
+    assert_eq!(response.header("mimosausher-code"), Some("3003"));
+    assert_eq!(response.header("retry-after"), Some("1"));
     let mut stream = TcpStream::connect(requests).unwrap();
     stream.write_all(b"nonsense\r\n\r\n").unwrap();
     let counted = |text: &str| {
--- a/crates/daemon/tests/endpoints_failures.rs
+++ b/crates/daemon/tests/endpoints_failures.rs
@@ -1,4 +1,4 @@
-//! Endpoints that drain, die and come back under another service, as entries see them.
+//! Endpoints that drain, die or move to another service, as seen by several entries.
 
 use std::{
     net::SocketAddr,
@@ -17,8 +17,8 @@
 /// Time between two announcements.
 const INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longer than an endpoint gets new work after its last announcement.
-const SILENCE: Duration = Duration::from_secs(4);
+/// Longer than an endpoint stays eligible for new work after its last announcement.
+const EXPIRY: Duration = Duration::from_secs(4);
 
 const SECTION: &str = r#"
 team = "booking"
@@ -37,7 +37,7 @@
         .and_then(|cluster| cluster.with_entry("entry-2", "porto-a"))
         .and_then(|cluster| cluster.with_entry("entry-3", "braga-a"))
         .unwrap();
-    for entry in cluster.faces("admin") {
+    for entry in cluster.addresses("admin") {
         Cluster::await_page(entry, "/v1/status", |page| {
             let list = page["instances"].as_array();
             list.is_some_and(|list| list.len() == 3)
@@ -51,7 +51,7 @@
     Announcer::new(name, service, "127.0.0.1:9".parse().unwrap())
 }
 
-/// Announces until a page of each of the instances fulfils a condition.
+/// Announces until the status page of each instance meets a condition.
 fn announce_until(
     announcer: &mut Announcer,
     to: SocketAddr,
@@ -60,23 +60,23 @@
 ) {
     for _ in 0..300 {
         announcer.announce(to).unwrap();
-        let fulfilled = instances.iter().all(|instance| {
-            let answer = call(*instance, "GET /v1/status", &[], b"").unwrap();
-            condition(&serde_json::from_slice(&answer.body).unwrap())
+        let met = instances.iter().all(|instance| {
+            let response = call(*instance, "GET /v1/status", &[], b"").unwrap();
+            condition(&serde_json::from_slice(&response.body).unwrap())
         });
-        if fulfilled {
+        if met {
             return;
         }
         thread::sleep(INTERVAL);
     }
-    panic!("the condition did not come about");
+    panic!("the condition was not met in time");
 }
 
-/// Looks at an entry that was resumed again and again: no endpoint may take new work there.
+/// Polls an entry that was resumed: no endpoint may become ready there.
 fn assert_never_ready(entry: SocketAddr) {
     for _ in 0..100 {
-        let answer = call(entry, "GET /v1/status", &[], b"").unwrap();
-        let page: Value = serde_json::from_slice(&answer.body).unwrap();
+        let response = call(entry, "GET /v1/status", &[], b"").unwrap();
+        let page: Value = serde_json::from_slice(&response.body).unwrap();
         assert_eq!(count(&page, "ready"), 0, "{page}");
         thread::sleep(Duration::from_millis(10));
     }
@@ -89,58 +89,58 @@
 }
 
 #[test]
-fn drain_uneven_updates() {
+fn drain_frozen_entry() {
     let cluster = cluster();
-    let faces = cluster.faces("admin");
+    let admins = cluster.addresses("admin");
     let mut desk = announcer("desk-1", "booking-desk");
-    announce_until(&mut desk, faces[0], &faces, |page| {
+    announce_until(&mut desk, admins[0], &admins, |page| {
         count(page, "ready") == 1
     });
     cluster.entries[1].signal(Signal::STOP).unwrap();
     desk.state = "draining".into();
-    announce_until(&mut desk, faces[0], &[faces[0], faces[2]], |page| {
+    announce_until(&mut desk, admins[0], &[admins[0], admins[2]], |page| {
         count(page, "ready") == 0 && count(page, "draining") == 1
     });
-    thread::sleep(SILENCE);
+    thread::sleep(EXPIRY);
     cluster.entries[1].signal(Signal::CONT).unwrap();
-    assert_never_ready(faces[1]);
+    assert_never_ready(admins[1]);
 }
 
 #[test]
-fn resume_waiting_announcements() {
+fn resume_queued_announcements() {
     let cluster = cluster();
-    let faces = cluster.faces("admin");
-    Cluster::edit(faces[0], "e1", "booking", 0, SECTION).unwrap();
+    let admins = cluster.addresses("admin");
+    Cluster::edit(admins[0], "e1", "booking", 0, SECTION).unwrap();
     cluster.await_revision(1).unwrap();
     let mut desk = announcer("desk-1", "booking-desk");
-    announce_until(&mut desk, faces[0], &faces, |page| {
+    announce_until(&mut desk, admins[0], &admins, |page| {
         count(page, "ready") == 1
     });
     cluster.entries[1].signal(Signal::STOP).unwrap();
-    // These wait at the frozen entry's socket.
+    // These queue in the frozen entry's socket.
     for _ in 0..10 {
-        desk.announce(faces[0]).unwrap();
+        desk.announce(admins[0]).unwrap();
         thread::sleep(INTERVAL);
     }
-    thread::sleep(SILENCE);
+    thread::sleep(EXPIRY);
     cluster.entries[1].signal(Signal::CONT).unwrap();
-    // Nothing listens at the endpoint's address: code 3007 would show a request sent there.
+    // Nothing listens on the endpoint's address: a request sent there would give code 3007.
     let requests = cluster.entries[1].address("requests");
-    let answer = call(requests, "GET /", &[("host", "booking.example")], b"").unwrap();
-    assert_eq!(answer.header("mimosausher-code"), Some("3003"));
-    assert_never_ready(faces[1]);
+    let response = call(requests, "GET /", &[("host", "booking.example")], b"").unwrap();
+    assert_eq!(response.header("mimosausher-code"), Some("3003"));
+    assert_never_ready(admins[1]);
 }
 
 #[test]
-fn silence_on_cut_off_entry() {
+fn stale_frozen_entry() {
     let cluster = cluster();
-    let faces = cluster.faces("admin");
+    let admins = cluster.addresses("admin");
     let mut desk = announcer("desk-1", "booking-desk");
-    announce_until(&mut desk, faces[0], &faces, |page| {
+    announce_until(&mut desk, admins[0], &admins, |page| {
         count(page, "ready") == 1
     });
     cluster.entries[0].signal(Signal::STOP).unwrap();
-    for entry in [faces[1], faces[2]] {
+    for entry in [admins[1], admins[2]] {
         let page = Cluster::await_page(entry, "/v1/status", |page| count(page, "ready") == 0);
         let page = page.unwrap();
         assert_eq!((count(&page, "stale"), &page["endpoints"]), (1, &1.into()));
@@ -151,9 +151,9 @@
 #[test]
 fn endpoint_dead() {
     let cluster = cluster();
-    let faces = cluster.faces("admin");
+    let admins = cluster.addresses("admin");
     let mut desk = announcer("desk-1", "booking-desk");
-    announce_until(&mut desk, faces[2], &faces, |page| {
+    announce_until(&mut desk, admins[2], &admins, |page| {
         count(page, "ready") == 1
     });
     cluster.await_endpoints(0).unwrap();
@@ -162,27 +162,30 @@
 #[test]
 fn address_of_another_service() {
     let cluster = cluster();
-    let faces = cluster.faces("admin");
+    let admins = cluster.addresses("admin");
     let mut desk = announcer("desk-1", "booking-desk");
-    announce_until(&mut desk, faces[0], &faces, |page| {
+    announce_until(&mut desk, admins[0], &admins, |page| {
         count(page, "ready") == 1
     });
     let mut updates = announcer("updates-1", "booking-updates");
-    for entry in &faces {
+    for entry in &admins {
         let refused = updates.announce(*entry).unwrap_err().to_string();
         assert!(refused.contains("4003"), "{refused}");
     }
     for _ in 0..300 {
-        let taken = faces.iter().all(|entry| updates.announce(*entry).is_ok());
-        let answer = call(faces[1], "GET /v1/status", &[], b"").unwrap();
-        let page: Value = serde_json::from_slice(&answer.body).unwrap();
+        let accepted = admins.iter().all(|entry| updates.announce(*entry).is_ok());
+        let response = call(admins[1], "GET /v1/status", &[], b"").unwrap();
+        let page: Value = serde_json::from_slice(&response.body).unwrap();
         let used = page["services"].as_array().unwrap().iter();
         let used = used.filter(|service| service["ready"] == 1);
         assert!(used.count() <= 1);
-        if taken && count(&page, "ready") == 1 && page["services"][0]["name"] == "booking-updates" {
+        if accepted
+            && count(&page, "ready") == 1
+            && page["services"][0]["name"] == "booking-updates"
+        {
             return;
         }
         thread::sleep(INTERVAL);
     }
-    panic!("the address was not used again");
+    panic!("the address was not reused in time");
 }
--- a/crates/daemon/tests/flows_changes.rs
+++ b/crates/daemon/tests/flows_changes.rs
@@ -1,4 +1,4 @@
-//! Sprayed flows through planned changes and failures, with real processes on loopback.
+//! Sprayed flows during planned changes and failures, with real processes on loopback.
 
 use std::{
     io,
@@ -18,7 +18,7 @@
 };
 use standin::{
     Announcer,
-    Caller,
+    Client,
     Cluster,
     Endpoint,
     Fabric, //
@@ -46,8 +46,8 @@
 
 const UDP: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(203, 0, 113, 10), 4000);
 
-/// Tries of a caller whose packet got no answer.
-const TRIES: usize = 8;
+/// Number of times that a client sends a packet before it gives up.
+const MAX_ATTEMPTS: usize = 8;
 
 fn cluster() -> Cluster {
     let cluster = Cluster::new()
@@ -65,35 +65,35 @@
 fn endpoint(cluster: &Cluster, name: &str, service: &str) -> Endpoint {
     let endpoint = Endpoint::start(name, Duration::ZERO).unwrap();
     let announcer = Announcer::new(name, service, endpoint.address);
-    endpoint.announce(announcer, cluster.faces("admin"));
+    endpoint.announce(announcer, cluster.addresses("admin"));
     endpoint
 }
 
-/// Sends a packet until an endpoint answers.
-fn exchange(caller: &Caller, fabric: &mut Fabric) -> String {
-    for _ in 0..TRIES {
-        if let Ok((_, name)) = caller.exchange(fabric) {
+/// Resends a packet until an endpoint replies.
+fn exchange(client: &Client, fabric: &mut Fabric) -> String {
+    for _ in 0..MAX_ATTEMPTS {
+        if let Ok((_, name)) = client.exchange(fabric) {
             return name;
         }
     }
-    panic!("no answer");
+    panic!("no reply");
 }
 
-fn open(fabric: &mut Fabric, count: usize) -> Vec<(Caller, String)> {
+fn open_flows(fabric: &mut Fabric, count: usize) -> Vec<(Client, String)> {
     (0..count)
         .map(|_| {
-            let caller = Caller::new(UDP).unwrap();
-            let name = exchange(&caller, fabric);
-            assert_eq!(exchange(&caller, fabric), name);
-            (caller, name)
+            let client = Client::new(UDP).unwrap();
+            let name = exchange(&client, fabric);
+            assert_eq!(exchange(&client, fabric), name);
+            (client, name)
         })
         .collect()
 }
 
-fn check(flows: &[(Caller, String)], fabric: &mut Fabric) {
+fn assert_sticky(flows: &[(Client, String)], fabric: &mut Fabric) {
     for _ in 0..3 {
-        for (caller, name) in flows {
-            assert_eq!(&exchange(caller, fabric), name);
+        for (client, name) in flows {
+            assert_eq!(&exchange(client, fabric), name);
         }
     }
 }
@@ -103,14 +103,14 @@
     let cluster = cluster();
     let first = endpoint(&cluster, "updates-1", "booking-updates");
     cluster.await_endpoints(1).unwrap();
-    let mut fabric = Fabric::new(&cluster.faces("fabric")).unwrap();
-    let flows = open(&mut fabric, 12);
+    let mut fabric = Fabric::new(&cluster.addresses("fabric")).unwrap();
+    let flows = open_flows(&mut fabric, 12);
     let _more: Vec<_> = ["updates-2", "updates-3", "updates-4"]
         .iter()
         .map(|name| endpoint(&cluster, name, "booking-updates"))
         .collect();
     cluster.await_endpoints(4).unwrap();
-    check(&flows, &mut fabric);
+    assert_sticky(&flows, &mut fabric);
     drop(first);
 }
 
@@ -122,8 +122,8 @@
         .map(|name| endpoint(&cluster, name, "booking-updates"))
         .collect();
     cluster.await_endpoints(3).unwrap();
-    let mut fabric = Fabric::new(&cluster.faces("fabric")).unwrap();
-    let flows = open(&mut fabric, 12);
+    let mut fabric = Fabric::new(&cluster.addresses("fabric")).unwrap();
+    let flows = open_flows(&mut fabric, 12);
     for index in 0..3 {
         let status = cluster.entries[index].stop().unwrap();
         assert!(status.success());
@@ -131,11 +131,11 @@
             .filter(|other| *other != index)
             .map(|other| cluster.entries[other].address("fabric"))
             .collect();
-        check(&flows, &mut Fabric::new(&others).unwrap());
+        assert_sticky(&flows, &mut Fabric::new(&others).unwrap());
         cluster.entries[index].restart().unwrap();
         cluster.await_revision(1).unwrap();
         cluster.await_endpoints(3).unwrap();
-        check(&flows, &mut fabric);
+        assert_sticky(&flows, &mut fabric);
     }
 }
 
@@ -147,14 +147,14 @@
         .map(|name| endpoint(&cluster, name, "booking-updates"))
         .collect();
     cluster.await_endpoints(3).unwrap();
-    let mut fabric = Fabric::new(&cluster.faces("fabric")).unwrap();
-    let flows = open(&mut fabric, 12);
+    let mut fabric = Fabric::new(&cluster.addresses("fabric")).unwrap();
+    let flows = open_flows(&mut fabric, 12);
     cluster.entries[0].kill().unwrap();
-    let left = cluster.faces("fabric").split_off(1);
-    check(&flows, &mut Fabric::new(&left).unwrap());
+    let remaining = cluster.addresses("fabric").split_off(1);
+    assert_sticky(&flows, &mut Fabric::new(&remaining).unwrap());
 }
 
-/// A segment from `port`, as the fabric hands it over.
+/// A TCP segment from `port`, encapsulated as the fabric sends it.
 fn segment(port: u16, syn: bool) -> Vec<u8> {
     let mut bytes = vec![0, 0, 0x08, 0x00];
     let step = PacketBuilder::ipv4([127, 0, 0, 1], [203, 0, 113, 10], 64);
@@ -164,8 +164,8 @@
     bytes
 }
 
-/// Sends segments of a flow to an entry until one comes back, and says whether it is a reset.
-fn answer(entry: std::net::SocketAddr, port: u16) -> io::Result<bool> {
+/// Sends segments of a flow to an entry until one comes back; true if that is a reset.
+fn replies_reset(entry: std::net::SocketAddr, port: u16) -> io::Result<bool> {
     let socket = UdpSocket::bind("127.0.0.1:0")?;
     socket.set_read_timeout(Some(Duration::from_millis(500)))?;
     let mut buffer = [0; 256];
@@ -185,7 +185,7 @@
     let stream = endpoint(&cluster, "streams-1", "booking-streams");
     cluster.await_endpoints(1).unwrap();
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let entries = cluster.faces("fabric");
+    let entries = cluster.addresses("fabric");
     while stream.served().packets.len() < 4 {
         socket.send_to(&segment(9, true), entries[0]).unwrap();
         socket.send_to(&segment(9, false), entries[1]).unwrap();
@@ -193,6 +193,6 @@
     }
     drop(stream);
     for entry in entries {
-        assert!(answer(entry, 9).unwrap());
+        assert!(replies_reset(entry, 9).unwrap());
     }
 }
--- a/crates/daemon/tests/flows_limits.rs
+++ b/crates/daemon/tests/flows_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of a service whose flows are balanced, through real processes.
+//! Connection limits of a service in mode `flows`, with real processes.
 
 use std::{
     net::{
@@ -10,7 +10,7 @@
 
 use standin::{
     Announcer,
-    Caller,
+    Client,
     Cluster,
     Endpoint,
     Fabric, //
@@ -33,10 +33,10 @@
 
 const DESTINATION: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(203, 0, 113, 10), 4000);
 
-/// Flows that are opened; each draws among the endpoints anew.
+/// Number of flows; each is placed independently.
 const FLOWS: usize = 24;
 
-/// Packets that a caller sends before it gives up.
+/// Number of packets that a client sends before it gives up.
 const ATTEMPTS: usize = 10;
 
 #[test]
@@ -52,16 +52,16 @@
         let endpoint = Endpoint::start(name, Duration::ZERO).unwrap();
         let mut announcer = Announcer::new(name, "booking-updates", endpoint.address);
         announcer.connections = connections;
-        endpoint.announce(announcer, cluster.faces("admin"));
+        endpoint.announce(announcer, cluster.addresses("admin"));
         endpoint
     });
     cluster.await_endpoints(2).unwrap();
-    let mut fabric = Fabric::new(&cluster.faces("fabric")).unwrap();
+    let mut fabric = Fabric::new(&cluster.addresses("fabric")).unwrap();
     for _ in 0..FLOWS {
-        let caller = Caller::new(DESTINATION).unwrap();
-        // An entry that has just started drops first packets for a while.
-        let answers = (0..ATTEMPTS).find_map(|_| caller.exchange(&mut fabric).ok());
-        let (_, endpoint) = answers.unwrap();
+        let client = Client::new(DESTINATION).unwrap();
+        // An entry drops the first packets of flows for a while after its start.
+        let reply = (0..ATTEMPTS).find_map(|_| client.exchange(&mut fabric).ok());
+        let (_, endpoint) = reply.unwrap();
         assert_eq!(endpoint, "updates-2");
     }
     assert!(endpoints[0].served().packets.is_empty());
--- a/crates/daemon/tests/logs.rs
+++ b/crates/daemon/tests/logs.rs
@@ -1,4 +1,4 @@
-//! The log is JSON lines, with a level for each target; health and readiness are told apart.
+//! Log format and levels; health and readiness.
 
 use std::{
     fs,
@@ -22,7 +22,7 @@
     )
 }
 
-/// Runs a store with these log settings from its start to its planned stop; returns its log.
+/// Starts and stops a store with the given log settings; returns its log.
 fn run(log: &str) -> Vec<Value> {
     let folder = TempDir::new().unwrap();
     let text = settings(folder.path(), log);
--- a/crates/daemon/tests/members_failures.rs
+++ b/crates/daemon/tests/members_failures.rs
@@ -1,4 +1,4 @@
-//! Instances that join, leave, freeze, die and come back, as real processes.
+//! Instances that join, leave, freeze, die and restart, as real processes.
 
 use std::{
     net::SocketAddr,
@@ -23,7 +23,7 @@
     cluster
 }
 
-/// Waits until all entries and stores know as many other instances.
+/// Waits until each entry and store lists exactly `count` other instances.
 fn await_instances(cluster: &Cluster, count: usize) {
     for daemon in cluster.entries.iter().chain(&cluster.stores) {
         await_others(daemon.address("admin"), count);
@@ -38,8 +38,8 @@
     .unwrap()
 }
 
-/// What an instance knows of another one.
-fn known(page: &Value, name: &str) -> Value {
+/// The entry for another instance on a status page.
+fn instance_named(page: &Value, name: &str) -> Value {
     let mut list = page["instances"].as_array().unwrap().iter();
     list.find(|instance| instance["name"] == name)
         .unwrap()
@@ -79,7 +79,7 @@
 fn restart_killed_entry() {
     let mut cluster = cluster(2);
     let admin = cluster.entries[0].address("admin");
-    let before = known(&await_others(admin, 2), "entry-2");
+    let before = instance_named(&await_others(admin, 2), "entry-2");
     cluster.entries[1].kill().unwrap();
     cluster.entries[1].restart().unwrap();
     let page = Cluster::await_page(admin, "/v1/status", |page| {
@@ -89,7 +89,7 @@
                 .any(|instance| instance["incarnation"].as_u64() > before["incarnation"].as_u64())
         })
     });
-    let after = known(&page.unwrap(), "entry-2");
+    let after = instance_named(&page.unwrap(), "entry-2");
     assert!(after["incarnation"].as_u64() > before["incarnation"].as_u64());
     await_instances(&cluster, 2);
 }
--- a/crates/daemon/tests/metrics.rs
+++ b/crates/daemon/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Every metric that an instance shows stands on the operators' page.
+//! Every exported metric is documented on the operators' page.
 
 use standin::{
     Cluster,
--- a/crates/daemon/tests/requests_common/mod.rs
+++ b/crates/daemon/tests/requests_common/mod.rs
@@ -1,4 +1,4 @@
-//! Entries, scripted endpoints and raw callers for the tests of requests.
+//! Clusters, scripted endpoints and a raw TCP client for the tests of mode `requests`.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -25,23 +25,23 @@
 
 use standin::{
     Announcer,
-    Answer,
     Cluster,
+    Response,
     call, //
 };
 
 /// The host of the service under test.
 pub const HOST: (&str, &str) = ("host", "desk.example");
 
-/// A request as a scripted endpoint reads it.
+/// A request that a scripted endpoint received.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Received {
     pub body: Vec<u8>,
     pub headers: BTreeMap<String, String>,
     pub line: String,
 }
 
-impl Seen {
+impl Received {
     pub fn key(&self) -> Option<&str> {
         self.headers.get("idempotency-key").map(String::as_str)
     }
@@ -51,52 +51,57 @@
     }
 }
 
-/// What a script makes of a request: whether the connection stays open.
-pub type Script = dyn Fn(&Seen, &mut TcpStream) -> bool + Send + Sync;
+/// Handles a request; returns whether the connection stays open.
+pub type Script = dyn Fn(&Received, &mut TcpStream) -> bool + Send + Sync;
 
-/// An endpoint that answers by a script and logs what it has read.
+/// An endpoint that handles requests with a script and records them.
 #[derive(Clone)]
-pub struct Scripted {
+pub struct ScriptedEndpoint {
     pub address: SocketAddr,
-    log: Arc<Mutex<Vec<Seen>>>,
+    log: Arc<Mutex<Vec<Received>>>,
 }
 
-impl Scripted {
-    pub fn start(script: impl Fn(&Seen, &mut TcpStream) -> bool + Send + Sync + 'static) -> Self {
+impl ScriptedEndpoint {
+    pub fn start(
+        script: impl Fn(&Received, &mut TcpStream) -> bool + Send + Sync + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let log: Arc<Mutex<Vec<Seen>>> = Arc::default();
+        let log: Arc<Mutex<Vec<Received>>> = Arc::default();
         let script: Arc<Script> = Arc::new(script);
-        let seen = log.clone();
+        let shared = log.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (script, seen) = (script.clone(), seen.clone());
-                thread::spawn(move || converse(stream, &*script, &seen));
+                let (script, log) = (script.clone(), shared.clone());
+                thread::spawn(move || serve(stream, &*script, &log));
             }
         });
         Self { address, log }
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn received(&self) -> Vec<Received> {
         self.log.lock().unwrap().clone()
     }
 }
 
-fn converse(stream: TcpStream, script: &Script, log: &Mutex<Vec<Seen>>) {
+fn serve(stream: TcpStream, script: &Script, log: &Mutex<Vec<Received>>) {
     let mut writer = stream.try_clone().unwrap();
     let mut reader = BufReader::new(stream);
-    while let Some(seen) = read(&mut reader) {
-        log.lock().unwrap().push(seen.clone());
-        if !script(&seen, &mut writer) {
-            let _shut = writer.shutdown(std::net::Shutdown::Both);
+    while let Some(request) = read_request(&mut reader) {
+        log.lock().unwrap().push(request.clone());
+        if !script(&request, &mut writer) {
+            let _closed = writer.shutdown(std::net::Shutdown::Both);
             return;
         }
     }
 }
 
-fn read(reader: &mut impl BufRead) -> Option<Seen> {
-    let mut seen = Seen::default();
-    reader.read_line(&mut seen.line).ok().filter(|n| *n > 0)?;
+fn read_request(reader: &mut impl BufRead) -> Option<Received> {
+    let mut request = Received::default();
+    reader
+        .read_line(&mut request.line)
+        .ok()
+        .filter(|n| *n > 0)?;
     loop {
         let mut text = String::new();
         reader.read_line(&mut text).ok()?;
@@ -104,40 +109,40 @@
             break;
         };
         let value = value.trim().to_owned();
-        seen.headers.insert(name.to_ascii_lowercase(), value);
+        request.headers.insert(name.to_ascii_lowercase(), value);
     }
-    let length = seen
+    let length = request
         .headers
         .get("content-length")
         .map_or(0, |text| text.parse().unwrap());
-    seen.body = vec![0; length];
-    reader.read_exact(&mut seen.body).ok()?;
-    Some(seen)
+    request.body = vec![0; length];
+    reader.read_exact(&mut request.body).ok()?;
+    Some(request)
 }
 
-/// Writes a plain answer.
+/// Writes a response with status 200.
 pub fn reply(stream: &mut TcpStream, text: &str) -> bool {
     let length = text.len();
-    let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{text}");
-    stream.write_all(answer.as_bytes()).is_ok()
+    let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{text}");
+    stream.write_all(response.as_bytes()).is_ok()
 }
 
 /// Writes the refusal of a full endpoint.
 pub fn shed(stream: &mut TcpStream) -> bool {
-    let answer = "HTTP/1.1 503 Full\r\nmimosausher-run: not\r\ncontent-length: 0\r\n\r\n";
-    stream.write_all(answer.as_bytes()).is_ok()
+    let response = "HTTP/1.1 503 Full\r\nmimosausher-run: not\r\ncontent-length: 0\r\n\r\n";
+    stream.write_all(response.as_bytes()).is_ok()
 }
 
-/// A service that is tried again at once and keeps answers for ten seconds.
-pub fn section(more: &str) -> String {
+/// A section with one service in mode `requests`; `extra` adds settings to the service.
+pub fn section(extra: &str) -> String {
     format!(
         "team = \"desk\"\n\n[[service]]\nname = \"desk\"\nmode = \"requests\"\n\
-         hosts = [\"desk.example\"]\nendpoints = [\"*\"]\n{more}"
+         hosts = [\"desk.example\"]\nendpoints = [\"*\"]\n{extra}"
     )
 }
 
-/// A store and entries, the first two in one data centre, with the document in force.
-pub fn cluster(entries: usize, more: &str) -> Cluster {
+/// Starts a store and entries, the first two in one data centre, with the document in force.
+pub fn cluster(entries: usize, extra: &str) -> Cluster {
     let mut cluster = Cluster::new()
         .and_then(|cluster| cluster.with_store("store-1", "porto-a"))
         .unwrap();
@@ -147,19 +152,19 @@
             .with_entry(&format!("entry-{number}"), centre)
             .unwrap();
     }
-    // An entry that first hears of a store whose log is in use can't rule out claims that it missed;
-    // here all entries are there before the first edit.
+    // An entry that first follows a store which already has a document can't rule out missed claims,
+    // so all entries follow the store before the first edit.
     for entry in &cluster.entries {
         await_known_claims(entry.address("admin"));
     }
     let instance = cluster.entries[0].address("admin");
-    let answer = Cluster::edit(instance, "e1", "desk", 0, &section(more)).unwrap();
-    assert!(answer.text().contains("accepted"), "{}", answer.text());
+    let response = Cluster::edit(instance, "e1", "desk", 0, &section(extra)).unwrap();
+    assert!(response.text().contains("accepted"), "{}", response.text());
     cluster.await_revision(1).unwrap();
     cluster
 }
 
-/// Waits until an entry has learnt from a store that no document was ever in force.
+/// Waits until an entry knows from a store that no document was ever in force.
 fn await_known_claims(admin: SocketAddr) {
     for _ in 0..600 {
         let page = call(admin, "GET /metrics", &[], b"");
@@ -168,10 +173,10 @@
         }
         thread::sleep(Duration::from_millis(50));
     }
-    panic!("the entry at {admin} never heard that the log is unused");
+    panic!("the entry at {admin} did not learn in time that no document was ever in force");
 }
 
-/// Waits until every entry knows every other one and all claims.
+/// Waits until every entry lists all others and accepts requests with idempotency keys.
 pub fn await_claims(cluster: &Cluster) {
     let count = cluster.entries.len();
     for entry in &cluster.entries {
@@ -181,8 +186,8 @@
         })
         .unwrap();
     }
-    for entry in cluster.faces("requests") {
-        await_answer(
+    for entry in cluster.addresses("requests") {
+        await_response(
             entry,
             "GET /warm",
             &[HOST, ("idempotency-key", &format!("warm-{entry}"))],
@@ -190,12 +195,12 @@
     }
 }
 
-/// Sends a request again and again until it is answered with success.
-pub fn await_answer(entry: SocketAddr, head: &str, headers: &[(&str, &str)]) -> Answer {
+/// Repeats a request until its response has status 200.
+pub fn await_response(entry: SocketAddr, head: &str, headers: &[(&str, &str)]) -> Response {
     let mut last = None;
     for _ in 0..600 {
         match call(entry, head, headers, b"") {
-            Ok(answer) if answer.status == 200 => return answer,
+            Ok(response) if response.status == 200 => return response,
             other => last = Some(other),
         }
         thread::sleep(Duration::from_millis(50));
@@ -203,36 +208,36 @@
     panic!("{head}: {last:?}");
 }
 
-/// Announces an endpoint to all entries until the test ends.
+/// Announces an endpoint to all entries until the test process exits.
 pub fn announce(cluster: &Cluster, name: &str, slots: u16, address: SocketAddr) {
     let mut announcer = Announcer::new(name, "desk", address);
     announcer.slots = slots;
     announce_as(cluster, announcer);
 }
 
-/// Announces until the test ends, by all entries.
+/// Sends the announcer's announcements to all entries until the test process exits.
 pub fn announce_as(cluster: &Cluster, mut announcer: Announcer) {
-    let instances = cluster.faces("admin");
+    let instances = cluster.addresses("admin");
     thread::spawn(move || {
         loop {
             for instance in &instances {
-                let _taken = announcer.announce(*instance);
+                let _announced = announcer.announce(*instance);
             }
             thread::sleep(Duration::from_millis(200));
         }
     });
 }
 
-/// Number of requests that run at an entry.
-pub fn running(instance: SocketAddr, count: u64) {
+/// Waits until exactly `count` requests run on an entry.
+pub fn await_running(instance: SocketAddr, count: u64) {
     Cluster::await_page(instance, "/v1/status", |page| {
         page["running"].as_u64() == Some(count)
     })
     .unwrap();
 }
 
-/// Sends bytes as they are and reads until the other side closes.
-pub fn raw(entry: SocketAddr, bytes: &[u8]) -> String {
+/// Sends raw bytes and reads until the entry closes the connection.
+pub fn send_raw(entry: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(entry).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(15)))
@@ -243,10 +248,10 @@
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// The code and the `run` word of a refusal.
-pub fn refusal(answer: &Answer) -> (&str, &str) {
+/// The `mimosausher-code` and `mimosausher-run` headers of a refusal.
+pub fn refusal(response: &Response) -> (&str, &str) {
     (
-        answer.header("mimosausher-code").unwrap_or_default(),
-        answer.header("mimosausher-run").unwrap_or_default(),
+        response.header("mimosausher-code").unwrap_or_default(),
+        response.header("mimosausher-run").unwrap_or_default(),
     )
 }
--- a/crates/daemon/tests/requests_once.rs
+++ b/crates/daemon/tests/requests_idempotency.rs
@@ -1,4 +1,5 @@
-//! At most once: claims on idempotency keys across entries, deaths, freezes and lost answers.
+//! Requests with idempotency keys run at most once, through resends, lost responses, killed and frozen
+//! entries.
 
 mod requests_common;
 
@@ -21,7 +22,7 @@
 use rand_chacha::ChaCha8Rng;
 use requests_common::{
     HOST,
-    Scripted,
+    ScriptedEndpoint,
     announce,
     await_claims,
     cluster,
@@ -34,25 +35,25 @@
     call, //
 };
 
-const KEEP: &str = "requests = { deadline_ms = 5000, keep_ms = 60000 }\n";
+const REQUEST_SETTINGS: &str = "requests = { deadline_ms = 5000, keep_ms = 60000 }\n";
 
-fn desk(delay: u64) -> Scripted {
+fn desk(delay: u64) -> ScriptedEndpoint {
     let served = Mutex::new(0);
-    Scripted::start(move |seen, stream| {
+    ScriptedEndpoint::start(move |request, stream| {
         let number = {
             let mut served = served.lock().unwrap();
             *served += 1;
             *served
         };
-        if !seen.path().starts_with("/warm") {
+        if !request.path().starts_with("/warm") {
             thread::sleep(Duration::from_millis(delay));
         }
         reply(stream, &format!("run {number}"))
     })
 }
 
-fn start(entries: usize, delay: u64) -> (Cluster, Scripted) {
-    let cluster = cluster(entries, KEEP);
+fn start(entries: usize, delay: u64) -> (Cluster, ScriptedEndpoint) {
+    let cluster = cluster(entries, REQUEST_SETTINGS);
     let endpoint = desk(delay);
     announce(&cluster, "desk-1", 20, endpoint.address);
     cluster.await_endpoints(1).unwrap();
@@ -60,12 +61,15 @@
     (cluster, endpoint)
 }
 
-fn runs(endpoint: &Scripted, key: &str) -> usize {
-    let seen = endpoint.seen();
-    seen.iter().filter(|seen| seen.key() == Some(key)).count()
+fn run_count(endpoint: &ScriptedEndpoint, key: &str) -> usize {
+    let received = endpoint.received();
+    received
+        .iter()
+        .filter(|request| request.key() == Some(key))
+        .count()
 }
 
-fn post(entry: std::net::SocketAddr, key: &str, body: &[u8]) -> std::io::Result<standin::Answer> {
+fn post(entry: std::net::SocketAddr, key: &str, body: &[u8]) -> std::io::Result<standin::Response> {
     call(
         entry,
         "POST /booking",
@@ -74,9 +78,9 @@
     )
 }
 
-/// Waits until an endpoint has read the request of a key.
-fn await_run(endpoint: &Scripted, key: &str) {
-    while runs(endpoint, key) == 0 {
+/// Waits until an endpoint has received the request with a key.
+fn await_run(endpoint: &ScriptedEndpoint, key: &str) {
+    while run_count(endpoint, key) == 0 {
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -84,7 +88,7 @@
 #[test]
 fn resend_other_entry() {
     let (cluster, endpoint) = start(4, 0);
-    let entries = cluster.faces("requests");
+    let entries = cluster.addresses("requests");
     let first = post(entries[0], "k1", b"a").unwrap();
     assert_eq!(first.status, 200);
     for entry in &entries {
@@ -92,104 +96,107 @@
         assert_eq!((again.status, again.text()), (200, first.text()));
         assert_eq!(again.header("idempotency-replayed"), Some("true"));
     }
-    assert_eq!(runs(&endpoint, "k1"), 1);
+    assert_eq!(run_count(&endpoint, "k1"), 1);
     let other = post(entries[1], "k1", b"b").unwrap();
     assert_eq!((other.status, refusal(&other)), (422, ("3011", "not")));
-    assert_eq!(runs(&endpoint, "k1"), 1);
+    assert_eq!(run_count(&endpoint, "k1"), 1);
 }
 
 #[test]
-fn resend_joined() {
+fn resend_concurrent() {
     let (cluster, endpoint) = start(4, 400);
-    let callers: Vec<_> = cluster
-        .faces("requests")
+    let clients: Vec<_> = cluster
+        .addresses("requests")
         .into_iter()
         .map(|entry| thread::spawn(move || post(entry, "k1", b"a").unwrap()))
         .collect();
-    let answers: Vec<_> = callers
+    let responses: Vec<_> = clients
         .into_iter()
-        .map(|caller| caller.join().unwrap())
+        .map(|client| client.join().unwrap())
         .collect();
-    for answer in &answers {
-        assert_eq!((answer.status, answer.text()), (200, answers[0].text()));
+    for response in &responses {
+        assert_eq!(
+            (response.status, response.text()),
+            (200, responses[0].text())
+        );
     }
-    assert_eq!(runs(&endpoint, "k1"), 1);
+    assert_eq!(run_count(&endpoint, "k1"), 1);
 }
 
-/// A caller whose answer is lost gets it with a resend: the request went on without it.
+/// A request continues after its client disconnects, and a resend gets the response.
 #[test]
 fn resend_lost_answer() {
     let (cluster, endpoint) = start(4, 300);
-    let entries = cluster.faces("requests");
-    let mut caller = TcpStream::connect(entries[0]).unwrap();
+    let entries = cluster.addresses("requests");
+    let mut client = TcpStream::connect(entries[0]).unwrap();
     let text = "POST /booking HTTP/1.1\r\nhost: desk.example\r\nidempotency-key: k1\r\n\
                 content-length: 1\r\n\r\na";
-    caller.write_all(text.as_bytes()).unwrap();
+    client.write_all(text.as_bytes()).unwrap();
     await_run(&endpoint, "k1");
-    drop(caller);
+    drop(client);
     let again = post(entries[2], "k1", b"a").unwrap();
     assert_eq!(again.status, 200);
-    assert_eq!(runs(&endpoint, "k1"), 1);
+    assert_eq!(run_count(&endpoint, "k1"), 1);
 }
 
-/// The entry that runs a request is killed: a resend is told that it may have run.
+/// After the entry that runs a request is killed, a resend is refused with `run: may`.
 #[test]
 fn kill_running_entry() {
     let (mut cluster, endpoint) = start(4, 500);
-    let entries = cluster.faces("requests");
+    let entries = cluster.addresses("requests");
     let first = entries[0];
-    let caller = thread::spawn(move || post(first, "k1", b"a"));
+    let client = thread::spawn(move || post(first, "k1", b"a"));
     await_run(&endpoint, "k1");
     cluster.entries[0].kill().unwrap();
-    assert!(caller.join().unwrap().is_err());
+    assert!(client.join().unwrap().is_err());
     for entry in &entries[1..] {
         let again = post(*entry, "k1", b"a").unwrap();
         assert_eq!((again.status, refusal(&again)), (409, ("3010", "may")));
     }
     cluster.entries[0].restart().unwrap();
-    let answer = post(entries[0], "k1", b"a").map(|answer| answer.status);
-    assert_ne!(answer.ok(), Some(200));
-    assert_eq!(runs(&endpoint, "k1"), 1);
+    let response = post(entries[0], "k1", b"a").map(|response| response.status);
+    assert_ne!(response.ok(), Some(200));
+    assert_eq!(run_count(&endpoint, "k1"), 1);
 }
 
-/// A frozen entry costs its keys nothing: the two other holders are enough.
+/// Keys held by a frozen entry stay usable: the two other holders are a quorum.
 #[test]
 fn freeze_one_holder() {
     let (cluster, endpoint) = start(4, 0);
-    let entries = cluster.faces("requests");
+    let entries = cluster.addresses("requests");
     cluster.entries[3].signal(Signal::STOP).unwrap();
     for number in 0..10 {
         let key = format!("frozen-{number}");
-        let answer = post(entries[number % 3], &key, b"a").unwrap();
-        assert_eq!(answer.status, 200, "{answer:?}");
+        let response = post(entries[number % 3], &key, b"a").unwrap();
+        assert_eq!(response.status, 200, "{response:?}");
     }
     cluster.entries[3].signal(Signal::CONT).unwrap();
     for number in 0..10 {
         let key = format!("frozen-{number}");
-        let answer = post(entries[3], &key, b"a").unwrap();
-        assert_eq!(answer.status, 200, "{answer:?}");
-        assert_eq!(runs(&endpoint, &key), 1);
+        let response = post(entries[3], &key, b"a").unwrap();
+        assert_eq!(response.status, 200, "{response:?}");
+        assert_eq!(run_count(&endpoint, &key), 1);
     }
 }
 
-/// Callers race with resends through all entries while entries are frozen, killed and restarted.
+/// Clients resend concurrently through all entries while entries are frozen, killed and restarted.
 #[test]
 fn history_kill_freeze() {
     let (mut cluster, endpoint) = start(5, 20);
-    let entries = cluster.faces("requests");
+    let entries = cluster.addresses("requests");
     let log: Arc<Mutex<Vec<(String, u16, String)>>> = Arc::default();
-    let callers: Vec<_> = (0..6)
-        .map(|caller| {
+    let clients: Vec<_> = (0..6)
+        .map(|client| {
             let (entries, log) = (entries.clone(), log.clone());
             thread::spawn(move || {
-                let mut random = ChaCha8Rng::seed_from_u64(caller);
+                let mut random = ChaCha8Rng::seed_from_u64(client);
                 for _ in 0..60 {
                     let key = format!("h{}", random.random_range(0..90));
                     let entry = entries[random.random_range(0..entries.len())];
                     let (status, run) = match post(entry, &key, b"a") {
-                        Ok(answer) => {
-                            let run = answer.header("mimosausher-run").unwrap_or("answer");
-                            (answer.status, run.to_owned())
+                        Ok(response) => {
+                            let run = response.header("mimosausher-run").unwrap_or("answer");
+                            (response.status, run.to_owned())
                         }
                         Err(_) => (0, "may".to_owned()),
                     };
@@ -209,12 +216,12 @@
     cluster.entries[2].kill().unwrap();
     thread::sleep(Duration::from_millis(300));
     cluster.entries[2].restart().unwrap();
-    for caller in callers {
-        caller.join().unwrap();
+    for client in clients {
+        client.join().unwrap();
     }
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-    for seen in endpoint.seen() {
-        if let Some(key) = seen.key() {
+    for request in endpoint.received() {
+        if let Some(key) = request.key() {
             *counts.entry(key.to_owned()).or_default() += 1;
         }
     }
--- a/crates/daemon/tests/requests_answers.rs
+++ b/crates/daemon/tests/requests_responses.rs
@@ -1,4 +1,4 @@
-//! Answers: whole or with an error that the caller can see, and never another caller's.
+//! Responses are complete or end with an error visible to the client, and never reach another client.
 
 mod requests_common;
 
@@ -10,21 +10,21 @@
 
 use requests_common::{
     HOST,
-    Scripted,
+    ScriptedEndpoint,
     announce,
+    await_running,
     cluster,
-    raw,
     refusal,
     reply,
-    running, //
+    send_raw, //
 };
 use standin::call;
 
 const CHUNKED: &[u8] = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
-/// An endpoint whose answer depends on the path.
-fn endpoint() -> Scripted {
-    Scripted::start(|seen, stream| match seen.path() {
+/// Starts an endpoint whose response depends on the path.
+fn endpoint() -> ScriptedEndpoint {
+    ScriptedEndpoint::start(|request, stream| match request.path() {
         "/chunks" => {
             stream.write_all(CHUNKED).unwrap();
             for part in ["5\r\nfirst\r\n", "6\r\nsecond\r\n", "0\r\n\r\n"] {
@@ -54,7 +54,7 @@
     })
 }
 
-fn one() -> (standin::Cluster, Scripted) {
+fn single_entry() -> (standin::Cluster, ScriptedEndpoint) {
     let cluster = cluster(1, "");
     let endpoint = endpoint();
     announce(&cluster, "desk-1", 3, endpoint.address);
@@ -63,70 +63,74 @@
 }
 
 #[test]
-fn answer_whole_forms() {
-    let (cluster, _endpoint) = one();
+fn response_complete() {
+    let (cluster, _endpoint) = single_entry();
     let entry = cluster.entries[0].address("requests");
-    let answer = call(entry, "GET /chunks", &[HOST], b"").unwrap();
-    assert_eq!(answer.text(), "firstsecond");
-    let answer = call(entry, "GET /long", &[HOST], b"").unwrap();
-    assert_eq!(answer.body.len(), 3_000_000);
-    running(cluster.entries[0].address("admin"), 0);
+    let response = call(entry, "GET /chunks", &[HOST], b"").unwrap();
+    assert_eq!(response.text(), "firstsecond");
+    let response = call(entry, "GET /long", &[HOST], b"").unwrap();
+    assert_eq!(response.body.len(), 3_000_000);
+    await_running(cluster.entries[0].address("admin"), 0);
 }
 
 #[test]
-fn answer_cut_visible() {
-    let (cluster, _endpoint) = one();
+fn response_truncated() {
+    let (cluster, _endpoint) = single_entry();
     let entry = cluster.entries[0].address("requests");
     for path in ["GET /cut-chunks", "GET /cut-length"] {
         let error = call(entry, path, &[HOST], b"").unwrap_err();
         assert_eq!(error.kind(), std::io::ErrorKind::UnexpectedEof, "{path}");
     }
-    running(cluster.entries[0].address("admin"), 0);
+    await_running(cluster.entries[0].address("admin"), 0);
 }
 
-/// The answer to a request that was given up on reaches nobody, also on one connection.
+/// A response that arrives after the deadline is dropped; it never becomes the response to a later
+/// request, also on a reused connection.
 #[test]
-fn answer_late_nobody() {
-    let (cluster, endpoint) = one();
+fn response_late() {
+    let (cluster, endpoint) = single_entry();
     let entry = cluster.entries[0].address("requests");
     for round in 0..3 {
         let headers = [HOST, ("request-timeout", "0.2")];
-        let answer = call(entry, "GET /late", &headers, b"").unwrap();
-        assert_eq!((answer.status, refusal(&answer)), (504, ("3009", "may")));
-        assert_eq!(answer.header("retry-after"), Some("1"));
+        let response = call(entry, "GET /late", &headers, b"").unwrap();
+        assert_eq!(
+            (response.status, refusal(&response)),
+            (504, ("3009", "may"))
+        );
+        assert_eq!(response.header("retry-after"), Some("1"));
         for number in 0..20 {
             let path = format!("/own-{round}-{number}");
-            let answer = call(entry, &format!("GET {path}"), &[HOST], b"").unwrap();
-            assert_eq!(answer.text(), path);
+            let response = call(entry, &format!("GET {path}"), &[HOST], b"").unwrap();
+            assert_eq!(response.text(), path);
         }
     }
-    assert_eq!(endpoint.seen().len(), 63);
+    assert_eq!(endpoint.received().len(), 63);
 }
 
-/// Many callers at once each get the answer to their own request.
+/// Concurrent clients each get the response to their own request.
 #[test]
-fn answer_crossed_never() {
-    let (cluster, _endpoint) = one();
+fn response_own_request() {
+    let (cluster, _endpoint) = single_entry();
     let entry = cluster.entries[0].address("requests");
-    let callers: Vec<_> = (0..8)
-        .map(|caller| {
+    let clients: Vec<_> = (0..8)
+        .map(|client| {
             thread::spawn(move || {
                 for number in 0..50 {
-                    let path = format!("/{caller}-{number}");
-                    let answer = call(entry, &format!("GET {path}"), &[HOST], b"").unwrap();
-                    assert_eq!(answer.text(), path);
+                    let path = format!("/{client}-{number}");
+                    let response = call(entry, &format!("GET {path}"), &[HOST], b"").unwrap();
+                    assert_eq!(response.text(), path);
                 }
             })
         })
         .collect();
-    for caller in callers {
-        caller.join().unwrap();
+    for client in clients {
+        client.join().unwrap();
     }
 }
 
 #[test]
 fn request_smuggling_refused() {
-    let (cluster, endpoint) = one();
+    let (cluster, endpoint) = single_entry();
     let entry = cluster.entries[0].address("requests");
     let second = "GET /second HTTP/1.1\r\nhost: desk.example\r\n\r\n";
     let cases = [
@@ -147,7 +151,7 @@
     ];
     for case in cases {
         let bytes = format!("POST /first HTTP/1.1\r\nhost: desk.example\r\n{case}{second}");
-        let text = raw(entry, bytes.as_bytes());
+        let text = send_raw(entry, bytes.as_bytes());
         assert!(text.starts_with("HTTP/1.1 400"), "{case:?}: {text:?}");
         assert_eq!(
             text.matches("content-length").count(),
@@ -155,7 +159,7 @@
             "{case:?}: {text:?}"
         );
     }
-    assert_eq!(endpoint.seen().len(), 0);
+    assert_eq!(endpoint.received().len(), 0);
 }
 
 #[test]
@@ -165,23 +169,26 @@
     announce(&cluster, "desk-1", 3, endpoint.address);
     cluster.await_endpoints(1).unwrap();
     let entry = cluster.entries[0].address("requests");
-    let answer = call(entry, "POST /", &[HOST], &[b'x'; 1001]).unwrap();
-    assert_eq!((answer.status, refusal(&answer)), (413, ("3012", "not")));
+    let response = call(entry, "POST /", &[HOST], &[b'x'; 1001]).unwrap();
+    assert_eq!(
+        (response.status, refusal(&response)),
+        (413, ("3012", "not"))
+    );
     let head = "POST / HTTP/1.1\r\nhost: desk.example\r\nconnection: close\r\n";
     let long = "x".repeat(1001);
     let chunks = format!("{head}transfer-encoding: chunked\r\n\r\n3e9\r\n{long}\r\n0\r\n\r\n");
-    let text = raw(entry, chunks.as_bytes());
+    let text = send_raw(entry, chunks.as_bytes());
     assert!(text.starts_with("HTTP/1.1 413"), "{text}");
     let large = format!("{head}x-large: {}\r\n\r\n", "x".repeat(100_000));
-    let text = raw(entry, large.as_bytes());
+    let text = send_raw(entry, large.as_bytes());
     assert!(text.starts_with("HTTP/1.1 431"), "{text}");
-    assert_eq!(endpoint.seen().len(), 0);
+    assert_eq!(endpoint.received().len(), 0);
 }
 
-/// A caller that sends its body slowly takes no slot.
+/// A client that sends its body slowly occupies no slot.
 #[test]
-fn caller_slow_body() {
-    let (cluster, endpoint) = one();
+fn client_slow_body() {
+    let (cluster, endpoint) = single_entry();
     let entry = cluster.entries[0].address("requests");
     let slow: Vec<_> = (0..20)
         .map(|_| {
@@ -191,8 +198,8 @@
             stream
         })
         .collect();
-    let answer = call(entry, "GET /quick", &[HOST], b"").unwrap();
-    assert_eq!(answer.text(), "/quick");
-    assert_eq!(endpoint.seen().len(), 1);
+    let response = call(entry, "GET /quick", &[HOST], b"").unwrap();
+    assert_eq!(response.text(), "/quick");
+    assert_eq!(endpoint.received().len(), 1);
     drop(slow);
 }
--- a/crates/daemon/tests/requests_stop.rs
+++ b/crates/daemon/tests/requests_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops of entries and drains of endpoints under full load cut no request.
+//! Under full load, stopping an entry or draining an endpoint fails no request.
 
 mod requests_common;
 
@@ -25,7 +25,7 @@
 
 use requests_common::{
     HOST,
-    Scripted,
+    ScriptedEndpoint,
     announce,
     announce_as,
     cluster,
@@ -33,81 +33,81 @@
 };
 use standin::{
     Announcer,
-    Answer,
     Cluster,
+    Response,
     call, //
 };
 
-/// Callers that keep their connections busy until they are told to end.
+/// Clients that send requests continuously until stopped.
 struct Load {
     answered: Arc<AtomicUsize>,
-    callers: Vec<thread::JoinHandle<Vec<String>>>,
-    end: Arc<AtomicBool>,
+    clients: Vec<thread::JoinHandle<Vec<String>>>,
+    stop: Arc<AtomicBool>,
 }
 
 impl Load {
-    fn start(entry: SocketAddr, other: SocketAddr, callers: usize) -> Self {
-        let (answered, end) = (Arc::default(), Arc::<AtomicBool>::default());
-        let callers = (0..callers)
+    fn start(entry: SocketAddr, other: SocketAddr, clients: usize) -> Self {
+        let (answered, stop) = (Arc::default(), Arc::<AtomicBool>::default());
+        let clients = (0..clients)
             .map(|_| {
-                let (answered, end) = (Arc::clone(&answered), end.clone());
-                thread::spawn(move || caller([entry, other], &answered, &end))
+                let (answered, stop) = (Arc::clone(&answered), stop.clone());
+                thread::spawn(move || run_client([entry, other], &answered, &stop))
             })
             .collect();
         Self {
             answered,
-            callers,
-            end,
+            clients,
+            stop,
         }
     }
 
-    fn await_answers(&self, count: usize) {
+    fn await_responses(&self, count: usize) {
         let target = self.answered.load(Ordering::Relaxed) + count;
         while self.answered.load(Ordering::Relaxed) < target {
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Ends the load and returns what was cut.
-    fn end(self) -> Vec<String> {
-        self.end.store(true, Ordering::Relaxed);
-        self.callers
+    /// Stops the clients and returns the failed requests.
+    fn stop(self) -> Vec<String> {
+        self.stop.store(true, Ordering::Relaxed);
+        self.clients
             .into_iter()
-            .flat_map(|caller| caller.join().unwrap())
+            .flat_map(|client| client.join().unwrap())
             .collect()
     }
 }
 
-/// Sends requests one after another, and turns to the other entry when an answer closes its
-/// connection; whatever is not answered with success is a cut.
-fn caller(entries: [SocketAddr; 2], answered: &AtomicUsize, end: &AtomicBool) -> Vec<String> {
-    let mut cut = Vec::new();
+/// Sends requests sequentially, and switches to the other entry when a response closes the connection;
+/// returns each status other than 200 and each error.
+fn run_client(entries: [SocketAddr; 2], answered: &AtomicUsize, stop: &AtomicBool) -> Vec<String> {
+    let mut failures = Vec::new();
     for entry in entries {
         let mut stream = TcpStream::connect(entry).unwrap();
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        while !end.load(Ordering::Relaxed) {
+        while !stop.load(Ordering::Relaxed) {
             let text = b"GET / HTTP/1.1\r\nhost: desk.example\r\n\r\n";
             stream.write_all(text).unwrap();
-            match Answer::read(&mut reader) {
-                Ok(answer) if answer.status == 200 => {
+            match Response::read(&mut reader) {
+                Ok(response) if response.status == 200 => {
                     answered.fetch_add(1, Ordering::Relaxed);
-                    if answer.header("connection") == Some("close") {
+                    if response.header("connection") == Some("close") {
                         break;
                     }
                 }
-                Ok(answer) => cut.push(format!("{}: {}", answer.status, answer.text())),
+                Ok(response) => failures.push(format!("{}: {}", response.status, response.text())),
                 Err(error) => {
-                    cut.push(error.to_string());
+                    failures.push(error.to_string());
                     break;
                 }
             }
         }
     }
-    cut
+    failures
 }
 
-fn desk() -> Scripted {
-    Scripted::start(|_, stream| {
+fn desk() -> ScriptedEndpoint {
+    ScriptedEndpoint::start(|_, stream| {
         thread::sleep(Duration::from_millis(10));
         reply(stream, "done")
     })
@@ -122,12 +122,12 @@
     announce(&cluster, "desk-3", 3, endpoints[2].address);
     cluster.await_endpoints(3).unwrap();
     let loads: Vec<_> = cluster
-        .faces("requests")
+        .addresses("requests")
         .into_iter()
         .map(|entry| Load::start(entry, entry, 4))
         .collect();
-    loads.iter().for_each(|load| load.await_answers(50));
-    // A later incarnation says that it drains; the earlier one's announcements count no more.
+    loads.iter().for_each(|load| load.await_responses(50));
+    // A later incarnation announces draining; announcements of the earlier one are ignored from then on.
     let mut announcer = Announcer::new("desk-1", "desk", endpoints[0].address);
     announcer.incarnation = 2;
     announcer.state = "draining".into();
@@ -139,16 +139,16 @@
         })
         .unwrap();
     }
-    loads.iter().for_each(|load| load.await_answers(50));
-    let drained = endpoints[0].seen().len();
-    loads.iter().for_each(|load| load.await_answers(100));
+    loads.iter().for_each(|load| load.await_responses(50));
+    let drained = endpoints[0].received().len();
+    loads.iter().for_each(|load| load.await_responses(100));
     assert_eq!(
-        endpoints[0].seen().len(),
+        endpoints[0].received().len(),
         drained,
         "a draining endpoint gets nothing new"
     );
     for load in loads {
-        assert_eq!(load.end(), Vec::<String>::new());
+        assert_eq!(load.stop(), Vec::<String>::new());
     }
 }
 
@@ -164,16 +164,17 @@
         let entry = cluster.entries[1].address("requests");
         let other = cluster.entries[0].address("requests");
         let load = Load::start(entry, other, 6);
-        load.await_answers(100);
+        load.await_responses(100);
         let status = cluster.entries[1].stop().unwrap();
         assert!(status.success());
-        load.await_answers(100);
-        let cut = load.end();
-        assert_eq!(cut, Vec::<String>::new());
+        load.await_responses(100);
+        let failures = load.stop();
+        assert_eq!(failures, Vec::<String>::new());
         cluster.entries[1].restart().unwrap();
         let mut served = false;
         for _ in 0..200 {
-            served |= call(entry, "GET /", &[HOST], b"").is_ok_and(|answer| answer.status == 200);
+            served |=
+                call(entry, "GET /", &[HOST], b"").is_ok_and(|response| response.status == 200);
             if served {
                 break;
             }
--- a/crates/daemon/tests/status_page.rs
+++ b/crates/daemon/tests/status_page.rs
@@ -1,4 +1,4 @@
-//! The status of the whole system, as one instance gathers it.
+//! The status of all instances, as one instance collects it.
 
 use std::{
     process::Command,
@@ -20,7 +20,7 @@
         .and_then(|cluster| cluster.with_entry("entry-2", "braga-a"))
         .and_then(|cluster| cluster.with_entry("entry-3", "gaia-a"))
         .unwrap();
-    for entry in cluster.faces("admin") {
+    for entry in cluster.addresses("admin") {
         Cluster::await_page(entry, "/v1/status", |page| {
             let list = page["instances"].as_array();
             list.is_some_and(|list| list.len() == 3)
@@ -43,9 +43,9 @@
         entry.signal(Signal::STOP).unwrap();
     }
     let start = Instant::now();
-    let answer = call(admin, "GET /v1/overview", &[], b"").unwrap();
+    let response = call(admin, "GET /v1/overview", &[], b"").unwrap();
     println!("answered in {:?} with 2 of 4 silent", start.elapsed());
-    let page: Value = serde_json::from_slice(&answer.body).unwrap();
+    let page: Value = serde_json::from_slice(&response.body).unwrap();
     assert_eq!(page["silent"], serde_json::json!(["entry-2", "entry-3"]));
     assert_eq!(page["asked"], "entry-1");
     assert_eq!(page["leader"], "store-1");
--- a/examples/standin/src/announcer.rs
+++ b/examples/standin/src/announcer.rs
@@ -1,4 +1,4 @@
-//! What an endpoint says of itself, and to whom.
+//! An endpoint's announcement to an instance.
 
 use std::{
     io,
@@ -9,34 +9,34 @@
 
 use crate::http::call;
 
-/// An announcement, as it is sent as JSON.
+/// An endpoint's announcement, sent as JSON.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct Announcer {
-    /// Where the endpoint is reached.
+    /// Address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre.
     pub centre: Box<str>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: u32,
-    /// Grows with each start.
+    /// Increases with each start of the endpoint.
     pub incarnation: u64,
     /// Share of the capacity in use.
     pub load: f32,
-    /// Its name.
+    /// Name of the endpoint.
     pub name: Box<str>,
-    /// Grows with each announcement.
+    /// Increases with each announcement.
     pub sequence: u64,
-    /// Its service.
+    /// Name of the service.
     pub service: Box<str>,
-    /// Requests that it can work on at once.
+    /// Number of requests that it can process concurrently.
     pub slots: u16,
     /// `starting`, `ready` or `draining`.
     pub state: Box<str>,
 }
 
 impl Announcer {
-    /// Creates a ready endpoint's announcement with 3 slots.
+    /// Creates the announcement of a ready endpoint with 3 slots.
     pub fn new(name: &str, service: &str, address: SocketAddr) -> Self {
         Self {
             address,
@@ -56,14 +56,14 @@
     ///
     /// # Errors
     ///
-    /// What the system reported, or the refusal's text.
+    /// Returns an I/O error, or the status and text of the refusal.
     pub fn announce(&mut self, instance: SocketAddr) -> io::Result<()> {
         self.sequence += 1;
         let body = serde_json::to_vec(self)?;
-        let answer = call(instance, "POST /v1/announcements", &[], &body)?;
-        match answer.status {
+        let response = call(instance, "POST /v1/announcements", &[], &body)?;
+        match response.status {
             204 => Ok(()),
-            status => Err(io::Error::other(format!("{status}: {}", answer.text()))),
+            status => Err(io::Error::other(format!("{status}: {}", response.text()))),
         }
     }
 }
--- a/examples/standin/src/bin/caller.rs
+++ b/examples/standin/src/bin/caller.rs
@@ -1,4 +1,4 @@
-//! Sends one request and one sprayed flow, and prints what came back and from where.
+//! Sends a request through each entry and one sprayed flow; prints each reply and which endpoint sent it.
 
 use std::{
     collections::BTreeSet,
@@ -12,15 +12,15 @@
 
 use gumdrop::Options;
 use mimosausher_standin::{
-    Caller,
+    Client,
     Fabric,
     call, //
 };
 
-/// Packets that each flow consists of.
+/// Number of packets in the flow.
 const PACKETS: usize = 8;
 
-/// What the command line holds.
+/// Command-line arguments.
 #[derive(Debug)]
 #[derive(Options)]
 struct Arguments {
@@ -49,25 +49,25 @@
 }
 
 fn run(arguments: &Arguments) -> io::Result<bool> {
-    let mut right = true;
+    let mut passed = true;
     for entry in &arguments.requests {
-        let answer = call(*entry, "GET /", &[("host", &arguments.host)], b"")?;
+        let response = call(*entry, "GET /", &[("host", &arguments.host)], b"")?;
         println!(
             "request via {entry}: {} from {}",
-            answer.status,
-            answer.text()
+            response.status,
+            response.text()
         );
-        right &= answer.status == 200;
+        passed &= response.status == 200;
     }
     let Some(destination) = arguments.destination else {
-        return Ok(right);
+        return Ok(passed);
     };
     let mut fabric = Fabric::new(&arguments.fabric)?;
-    let caller = Caller::new(destination)?;
+    let client = Client::new(destination)?;
     let mut entries = BTreeSet::new();
     let mut endpoints = BTreeSet::new();
     for _ in 0..PACKETS {
-        let (entry, endpoint) = caller.exchange(&mut fabric)?;
+        let (entry, endpoint) = client.exchange(&mut fabric)?;
         println!("packet via {entry}: answered by {endpoint}");
         entries.insert(entry);
         endpoints.insert(endpoint);
@@ -77,5 +77,5 @@
         entries.len(),
         endpoints.len()
     );
-    Ok(right && entries.len() == arguments.fabric.len() && endpoints.len() == 1)
+    Ok(passed && entries.len() == arguments.fabric.len() && endpoints.len() == 1)
 }
--- a/examples/standin/src/bin/endpoint.rs
+++ b/examples/standin/src/bin/endpoint.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in endpoint until it is told to stop by SIGTERM.
+//! Runs one stand-in endpoint until SIGTERM.
 
 use std::{
     net::SocketAddr,
@@ -19,7 +19,7 @@
 /// Time between two announcements.
 const INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the command line holds.
+/// Command-line arguments.
 #[derive(Debug)]
 #[derive(Options)]
 struct Arguments {
--- a/examples/standin/src/caller.rs
+++ b/examples/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller: sends packets of one flow through the fabric and takes the answers.
+//! A client that sends the packets of one UDP flow through the fabric and receives the replies.
 
 use std::{
     io,
@@ -13,26 +13,26 @@
 
 use crate::fabric::{
     Fabric,
-    datagram, //
+    gre_packet, //
 };
 
-/// Time after which a packet counts as unanswered.
+/// Time to wait for the reply to a packet.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The caller's end of one UDP flow.
+/// The client's end of one UDP flow.
 #[derive(Debug)]
-pub struct Caller {
+pub struct Client {
     destination: SocketAddrV4,
     socket: UdpSocket,
     source: SocketAddrV4,
 }
 
-impl Caller {
-    /// Opens a flow towards a service's address.
+impl Client {
+    /// Opens a flow to a service's address.
     ///
     /// # Errors
     ///
-    /// What the system reported when the socket was opened.
+    /// Returns an I/O error if the socket can't be opened.
     pub fn new(destination: SocketAddrV4) -> io::Result<Self> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
         socket.set_read_timeout(Some(TIMEOUT))?;
@@ -47,13 +47,13 @@
         })
     }
 
-    /// Sends one packet and returns the entry that it was handed to and the endpoint's answer.
+    /// Sends one packet; returns the entry that it was sent to and the endpoint's reply.
     ///
     /// # Errors
     ///
-    /// What the system reported; `WouldBlock` or `TimedOut` if no answer came.
+    /// Returns an I/O error; `WouldBlock` or `TimedOut` if there is no reply in time.
     pub fn exchange(&self, fabric: &mut Fabric) -> io::Result<(SocketAddr, String)> {
-        let bytes = datagram(self.source, self.destination, b"hello")?;
+        let bytes = gre_packet(self.source, self.destination, b"hello")?;
         let entry = fabric.spray(&bytes)?;
         let mut buffer = [0; 256];
         let (length, _) = self.socket.recv_from(&mut buffer)?;
--- a/examples/standin/src/cluster.rs
+++ b/examples/standin/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A few daemons on loopback, for tests and benchmarks.
+//! A cluster of daemons on loopback, for tests and benchmarks.
 
 use std::{
     fmt::Write as _,
@@ -21,24 +21,24 @@
 use crate::{
     daemon::Daemon,
     http::{
-        Answer,
+        Response,
         call, //
     },
 };
 
-/// Time after which a state that does not come about fails the run.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest wait for a condition.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between two looks at a state.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Pause between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A few daemons on loopback, with their files in a folder that is removed at the end.
+/// Daemons on loopback, with their files in a temporary folder that is removed on drop.
 #[derive(Debug)]
 pub struct Cluster {
-    /// The entries.
+    /// Running entries.
     pub entries: Vec<Daemon>,
     folder: TempDir,
-    /// The stores.
+    /// Running stores.
     pub stores: Vec<Daemon>,
 }
 
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// What the system reported.
+    /// Returns an I/O error if the temporary folder can't be created.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             entries: Vec::new(),
@@ -56,11 +56,11 @@
         })
     }
 
-    /// Starts one more entry.
+    /// Starts an entry.
     ///
     /// # Errors
     ///
-    /// What the system reported, or the daemon's end before its ports were open.
+    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are open.
     pub fn with_entry(mut self, name: &str, centre: &str) -> io::Result<Self> {
         let text = self.settings(name, centre, "entry")
             + "fabric = \"127.0.0.1:0\"\nrequests = \"127.0.0.1:0\"\n";
@@ -69,15 +69,15 @@
         Ok(self)
     }
 
-    /// Starts one more store and makes it a voter: by the explicit first start if it is the
-    /// first one, and by a change of the members otherwise.
+    /// Starts a store and makes it a voter: the first store initialises the cluster, each later one
+    /// is added to the members.
     ///
     /// # Errors
     ///
-    /// What the system reported, or the daemon's end before its ports were open, or `TimedOut`
-    /// if it does not become a voter.
+    /// Returns an I/O error, an error with the log if the daemon exits before its ports are open,
+    /// or `TimedOut` if the store doesn't become a voter.
     pub fn with_store(self, name: &str, centre: &str) -> io::Result<Self> {
-        let cluster = self.with_bare_store(name, centre)?;
+        let cluster = self.with_nonmember(name, centre)?;
         let count = cluster.stores.len();
         let Some(store) = cluster.stores.last() else {
             return Ok(cluster);
@@ -99,12 +99,12 @@
         Ok(cluster)
     }
 
-    /// Starts one more store that is no member yet.
+    /// Starts a store that isn't a member yet.
     ///
     /// # Errors
     ///
-    /// What the system reported, or the daemon's end before its ports were open.
-    pub fn with_bare_store(mut self, name: &str, centre: &str) -> io::Result<Self> {
+    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are open.
+    pub fn with_nonmember(mut self, name: &str, centre: &str) -> io::Result<Self> {
         let mut text = self.settings(name, centre, "store");
         let data = self.folder.path().join(format!("{name}-data"));
         let _written = write!(text, "\n[store]\ndata = {data:?}\n");
@@ -113,44 +113,44 @@
         Ok(self)
     }
 
-    /// Adds a store, by its name and inner address, through another one.
+    /// Adds a store to the members by name and inner address, through another store.
     ///
     /// # Errors
     ///
-    /// What the system reported, or `TimedOut` if it is refused for long.
+    /// Returns an I/O error, or `TimedOut` if the change is still refused after the timeout.
     pub fn add(instance: SocketAddr, store: &Value) -> io::Result<()> {
-        Self::change(instance, &json!({"add": store}))
+        Self::change_members(instance, &json!({"add": store}))
     }
 
-    /// Removes a store by its name.
+    /// Removes a store from the members by name.
     ///
     /// # Errors
     ///
-    /// What the system reported, or `TimedOut` if it is refused for long.
+    /// Returns an I/O error, or `TimedOut` if the change is still refused after the timeout.
     pub fn remove(instance: SocketAddr, name: &str) -> io::Result<()> {
-        Self::change(instance, &json!({"remove": name}))
+        Self::change_members(instance, &json!({"remove": name}))
     }
 
-    fn change(instance: SocketAddr, body: &Value) -> io::Result<()> {
+    fn change_members(instance: SocketAddr, body: &Value) -> io::Result<()> {
         let body = body.to_string();
         let start = Instant::now();
         loop {
-            let answer = call(instance, "POST /v1/members", &[], body.as_bytes())?;
-            if answer.status == 200 {
+            let response = call(instance, "POST /v1/members", &[], body.as_bytes())?;
+            if response.status == 200 {
                 return Ok(());
             }
-            if start.elapsed() > PATIENCE {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, answer.text()));
+            if start.elapsed() > TIMEOUT {
+                return Err(io::Error::new(io::ErrorKind::TimedOut, response.text()));
             }
-            thread::sleep(PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits until all running stores know a number of voters and a leader with a quorum.
+    /// Waits until all running stores report `count` voters and a leader with a quorum.
     ///
     /// # Errors
     ///
-    /// `TimedOut` if one of them does not.
+    /// Returns `TimedOut` if one of them doesn't in time.
     pub fn await_voters(&self, count: usize) -> io::Result<()> {
         for store in &self.stores {
             Self::await_page(store.address("admin"), "/v1/members", |page| {
@@ -162,16 +162,16 @@
         Ok(())
     }
 
-    /// The folder of settings, logs and data.
+    /// Folder with the daemons' settings, logs and data.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// The addresses of one face of all entries.
-    pub fn faces(&self, face: &str) -> Vec<SocketAddr> {
+    /// Addresses of one listener of all entries.
+    pub fn addresses(&self, listener: &str) -> Vec<SocketAddr> {
         self.entries
             .iter()
-            .map(|entry| entry.address(face))
+            .map(|entry| entry.address(listener))
             .collect()
     }
 
@@ -179,14 +179,14 @@
     ///
     /// # Errors
     ///
-    /// What the system reported.
+    /// Returns an I/O error if the call fails.
     pub fn edit(
         instance: SocketAddr,
         id: &str,
         section: &str,
         base: u64,
         text: &str,
-    ) -> io::Result<Answer> {
+    ) -> io::Result<Response> {
         let edit = json!({
             "author": "test",
             "base": base,
@@ -198,11 +198,11 @@
         call(instance, "POST /v1/edits", &[], body.as_bytes())
     }
 
-    /// Waits until a page of an instance's admin face fulfils a condition.
+    /// Polls a page of an instance's admin API until it meets a condition.
     ///
     /// # Errors
     ///
-    /// `TimedOut` with the page's last text if it does not come about.
+    /// Returns `TimedOut` with the last page if the condition isn't met in time.
     pub fn await_page(
         instance: SocketAddr,
         path: &str,
@@ -214,19 +214,19 @@
             if condition(&page) {
                 return Ok(page);
             }
-            if start.elapsed() > PATIENCE {
+            if start.elapsed() > TIMEOUT {
                 let text = format!("{path} of {instance}: {page}");
                 return Err(io::Error::new(io::ErrorKind::TimedOut, text));
             }
-            thread::sleep(PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits until all entries have a revision in force.
+    /// Waits until all entries have at least this revision in force.
     ///
     /// # Errors
     ///
-    /// `TimedOut` if an entry does not take it into force.
+    /// Returns `TimedOut` if an entry doesn't reach it in time.
     pub fn await_revision(&self, revision: u64) -> io::Result<()> {
         for entry in &self.entries {
             Self::await_page(entry.address("admin"), "/v1/status", |page| {
@@ -236,11 +236,11 @@
         Ok(())
     }
 
-    /// Waits until all entries know a number of endpoints.
+    /// Waits until all entries list exactly `count` endpoints.
     ///
     /// # Errors
     ///
-    /// `TimedOut` if an entry does not learn of them.
+    /// Returns `TimedOut` if an entry doesn't in time.
     pub fn await_endpoints(&self, count: usize) -> io::Result<()> {
         for entry in &self.entries {
             Self::await_page(entry.address("admin"), "/v1/endpoints", |page| {
@@ -264,8 +264,8 @@
     }
 }
 
-/// Reads a page of an instance's admin face as JSON.
+/// Reads a page of an instance's admin API as JSON.
 fn page(instance: SocketAddr, path: &str) -> io::Result<Value> {
-    let answer = call(instance, &format!("GET {path}"), &[], b"")?;
-    Ok(serde_json::from_slice(&answer.body)?)
+    let response = call(instance, &format!("GET {path}"), &[], b"")?;
+    Ok(serde_json::from_slice(&response.body)?)
 }
--- a/examples/standin/src/daemon.rs
+++ b/examples/standin/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon as a child process, for tests and benchmarks.
+//! A daemon that runs as a child process, for tests and benchmarks.
 
 use std::{
     collections::BTreeMap,
@@ -31,52 +31,52 @@
 
 pub use rustix::process::Signal;
 
-/// A running daemon; it is killed when this is dropped.
+/// A running daemon, killed on drop.
 #[derive(Debug)]
 pub struct Daemon {
     addresses: BTreeMap<String, Option<SocketAddr>>,
     child: Child,
-    /// The instance's name.
+    /// Name of the instance.
     pub name: Box<str>,
     settings: PathBuf,
 }
 
 impl Daemon {
-    /// Starts a daemon with a settings text, kept as a file in `folder`, and waits until its
-    /// ports are open.
+    /// Writes the settings to a file in `folder`, starts a daemon with it and waits until its ports
+    /// are open.
     ///
     /// # Errors
     ///
-    /// What the system reported, or the daemon's end before its ports were open.
+    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are open.
     pub fn start(folder: &Path, name: &str, settings: &str) -> io::Result<Self> {
         let path = folder.join(format!("{name}.toml"));
         fs::write(&path, settings)?;
         Self::spawn(folder, name, path)
     }
 
-    /// The address of a face: `admin`, `fabric`, `inner` or `requests`.
+    /// Address of a listener: `admin`, `fabric`, `inner` or `requests`.
     ///
     /// # Panics
     ///
-    /// Panics if the daemon has no such face.
-    pub fn address(&self, face: &str) -> SocketAddr {
-        match self.addresses.get(face).copied().flatten() {
+    /// Panics if the daemon has no such listener.
+    pub fn address(&self, listener: &str) -> SocketAddr {
+        match self.addresses.get(listener).copied().flatten() {
             Some(address) => address,
-            None => panic!("{} has no face {face}", self.name),
+            None => panic!("{} has no {listener} listener", self.name),
         }
     }
 
-    /// Starts the daemon again after it has ended, on the ports that it had.
+    /// Starts the daemon again after it has exited, on the same ports.
     ///
     /// # Errors
     ///
-    /// What the system reported, or the daemon's end before its ports were open.
+    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are open.
     pub fn restart(&mut self) -> io::Result<()> {
         let mut text = fs::read_to_string(&self.settings)?;
-        for (face, address) in &self.addresses {
+        for (listener, address) in &self.addresses {
             if let Some(address) = address {
-                let open = format!("{face} = \"127.0.0.1:0\"");
-                text = text.replace(&open, &format!("{face} = \"{address}\""));
+                let unbound = format!("{listener} = \"127.0.0.1:0\"");
+                text = text.replace(&unbound, &format!("{listener} = \"{address}\""));
             }
         }
         fs::write(&self.settings, text)?;
@@ -86,12 +86,12 @@
         Ok(())
     }
 
-    /// Limits the size of the files that the daemon writes, in bytes; none lifts the limit.
+    /// Limits the size in bytes of each file that the daemon writes; `None` removes the limit.
     ///
     /// # Errors
     ///
-    /// What the system reported.
-    pub fn limit_files(&self, bytes: Option<u64>) -> io::Result<()> {
+    /// Returns an I/O error if the system call fails.
+    pub fn limit_file_size(&self, bytes: Option<u64>) -> io::Result<()> {
         let limit = Rlimit {
             current: bytes,
             maximum: None,
@@ -104,32 +104,32 @@
     ///
     /// # Errors
     ///
-    /// What the system reported.
+    /// Returns an I/O error if the system call fails.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
 
-    /// Begins a planned stop and waits for its end.
+    /// Sends SIGTERM and waits until the daemon exits.
     ///
     /// # Errors
     ///
-    /// What the system reported.
+    /// Returns an I/O error if the system call fails.
     pub fn stop(&mut self) -> io::Result<ExitStatus> {
         self.signal(Signal::TERM)?;
         self.child.wait()
     }
 
-    /// Kills the daemon without a planned stop.
+    /// Sends SIGKILL and waits until the daemon exits.
     ///
     /// # Errors
     ///
-    /// What the system reported.
+    /// Returns an I/O error if the system call fails.
     pub fn kill(&mut self) -> io::Result<ExitStatus> {
         self.child.kill()?;
         self.child.wait()
     }
 
-    /// Number of the process.
+    /// Process ID.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -168,15 +168,15 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // It may have ended already.
-        let _ended = self.kill();
+        // It may have exited already.
+        let _exited = self.kill();
     }
 }
 
-/// The path of a program that was built beside the running one.
+/// Path of a program in the folder of the running executable or in its parent.
 fn binary(name: &str) -> io::Result<PathBuf> {
-    let own = env::current_exe()?;
-    let found = own
+    let executable = env::current_exe()?;
+    let found = executable
         .ancestors()
         .skip(1)
         .take(2)
--- a/examples/standin/src/endpoint.rs
+++ b/examples/standin/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint: answers requests over HTTP/1.1 and packets as GRE in UDP, both on one port.
+//! An endpoint that answers HTTP/1.1 requests and GRE-in-UDP packets on one port.
 
 use std::{
     io::{
@@ -35,41 +35,41 @@
 /// Time between two announcements.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A request that an endpoint has received.
+/// A request that an endpoint received.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Request {
-    /// Its idempotency key, if it had one.
+    /// Idempotency key, if any.
     pub key: Option<Box<str>>,
-    /// Its first line.
+    /// Request line.
     pub line: Box<str>,
 }
 
-/// What an endpoint has served, in order.
+/// Packets and requests that an endpoint received, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Served {
-    /// Source ports of packets.
+    /// Source ports of the packets.
     pub packets: Vec<u16>,
-    /// Requests.
+    /// Received requests.
     pub requests: Vec<Request>,
 }
 
-/// A running endpoint; it ends with the process, or when it is dropped.
+/// A running endpoint, stopped on drop.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Where it is reached, over TCP and UDP.
+    /// Address that it listens on, over TCP and UDP.
     pub address: SocketAddr,
     served: Arc<Mutex<Served>>,
     stop: Arc<AtomicBool>,
 }
 
 impl Endpoint {
-    /// Starts an endpoint that answers each request with its name after `delay`.
+    /// Starts an endpoint that answers each request with its name, after `delay`.
     ///
     /// # Errors
     ///
-    /// What the system reported when the ports were opened.
+    /// Returns an I/O error if the ports can't be opened.
     pub fn start(name: &str, delay: Duration) -> io::Result<Self> {
-        let (listener, socket) = ports()?;
+        let (listener, socket) = bind()?;
         let address = listener.local_addr()?;
         let served = Arc::new(Mutex::new(Served::default()));
         let stop = Arc::new(AtomicBool::new(false));
@@ -79,29 +79,29 @@
             stop: stop.clone(),
         };
         socket.set_read_timeout(Some(Duration::from_millis(100)))?;
-        let own: Box<str> = name.into();
-        let (log, ended) = (served.clone(), stop.clone());
-        thread::spawn(move || packets(&own, &socket, &log, &ended));
-        let own: Box<str> = name.into();
+        let body: Box<str> = name.into();
+        let (log, stopped) = (served.clone(), stop.clone());
+        thread::spawn(move || serve_packets(&body, &socket, &log, &stopped));
+        let body: Box<str> = name.into();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 if stop.load(Ordering::Relaxed) {
                     return;
                 }
-                let (own, log) = (own.clone(), served.clone());
-                thread::spawn(move || requests(&own, delay, stream, &log));
+                let (body, log) = (body.clone(), served.clone());
+                thread::spawn(move || serve_requests(&body, delay, stream, &log));
             }
         });
         Ok(endpoint)
     }
 
-    /// Announces the endpoint to the first instance that takes it, again and again until the
-    /// endpoint is dropped.
+    /// Announces the endpoint at intervals until it is dropped, each time to the first instance that
+    /// accepts the announcement.
     pub fn announce(&self, mut announcer: Announcer, instances: Vec<SocketAddr>) {
         let stop = self.stop.clone();
         thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
-                let _taken = instances
+                let _announced = instances
                     .iter()
                     .any(|instance| announcer.announce(*instance).is_ok());
                 thread::sleep(ANNOUNCE_INTERVAL);
@@ -109,22 +109,22 @@
         });
     }
 
-    /// What it has served so far.
+    /// Packets and requests received so far.
     pub fn served(&self) -> Served {
-        guard(&self.served).clone()
+        lock(&self.served).clone()
     }
 }
 
 impl Drop for Endpoint {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        // Wakes the accepting thread, so that it sees the flag.
+        // Wakes the accepting thread, so that it checks the flag.
         let _woken = TcpStream::connect(self.address);
     }
 }
 
-/// Opens one port for TCP and UDP alike.
-fn ports() -> io::Result<(TcpListener, UdpSocket)> {
+/// Opens the same port for TCP and UDP.
+fn bind() -> io::Result<(TcpListener, UdpSocket)> {
     loop {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         if let Ok(socket) = UdpSocket::bind(listener.local_addr()?) {
@@ -133,12 +133,12 @@
     }
 }
 
-fn guard(served: &Mutex<Served>) -> MutexGuard<'_, Served> {
+fn lock(served: &Mutex<Served>) -> MutexGuard<'_, Served> {
     served.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Takes the encapsulation off each packet and answers its source directly with the name.
-fn packets(name: &str, socket: &UdpSocket, served: &Mutex<Served>, stop: &AtomicBool) {
+/// Decapsulates each packet and replies directly to its source address with `body`.
+fn serve_packets(body: &str, socket: &UdpSocket, served: &Mutex<Served>, stop: &AtomicBool) {
     let mut buffer = [0; 2048];
     while !stop.load(Ordering::Relaxed) {
         let Ok((length, _)) = socket.recv_from(&mut buffer) else {
@@ -160,29 +160,29 @@
             TransportSlice::Udp(udp) => udp.source_port(),
             _ => continue,
         };
-        guard(served).packets.push(port);
-        let _sent = socket.send_to(name.as_bytes(), (ip.header().source_addr(), port));
+        lock(served).packets.push(port);
+        let _sent = socket.send_to(body.as_bytes(), (ip.header().source_addr(), port));
     }
 }
 
-fn requests(name: &str, delay: Duration, stream: TcpStream, served: &Mutex<Served>) {
+fn serve_requests(body: &str, delay: Duration, stream: TcpStream, served: &Mutex<Served>) {
     let Ok(mut writer) = stream.try_clone() else {
         return;
     };
     let mut reader = BufReader::new(stream);
-    while let Ok(Some(request)) = request(&mut reader) {
-        guard(served).requests.push(request);
+    while let Ok(Some(request)) = read_request(&mut reader) {
+        lock(served).requests.push(request);
         thread::sleep(delay);
-        let length = name.len();
-        let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{name}");
-        if writer.write_all(answer.as_bytes()).is_err() {
+        let length = body.len();
+        let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}");
+        if writer.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
 }
 
-/// Reads one request with its body; none if the caller has closed the connection.
-fn request(reader: &mut impl BufRead) -> io::Result<Option<Request>> {
+/// Reads one request with its body; `None` if the client has closed the connection.
+fn read_request(reader: &mut impl BufRead) -> io::Result<Option<Request>> {
     let mut first = String::new();
     if reader.read_line(&mut first)? == 0 {
         return Ok(None);
--- a/examples/standin/src/fabric.rs
+++ b/examples/standin/src/fabric.rs
@@ -1,4 +1,4 @@
-//! The fabric: hands each packet of a flow to any of the entries.
+//! The network fabric, which sends each packet of a flow to any of the entries.
 
 use std::{
     io,
@@ -12,15 +12,16 @@
 
 use etherparse::PacketBuilder;
 
-/// GRE header without options that announces an IPv4 packet.
+/// GRE header without options, with the protocol type of IPv4.
 const GRE_IPV4: [u8; 4] = [0, 0, 0x08, 0x00];
 
-/// A UDP packet from `source` to `destination`, as GRE in UDP carries it.
+/// Encapsulates a UDP packet from `source` to `destination` in GRE; the result is the payload of a
+/// GRE-in-UDP datagram.
 ///
 /// # Errors
 ///
-/// What the packet builder reported.
-pub fn datagram(
+/// Returns the packet builder's error.
+pub fn gre_packet(
     source: SocketAddrV4,
     destination: SocketAddrV4,
     payload: &[u8],
@@ -34,7 +35,7 @@
     Ok(bytes)
 }
 
-/// Sprays datagrams over entries, one after the other.
+/// Sprays packets over the entries, round-robin.
 #[derive(Debug)]
 pub struct Fabric {
     entries: Vec<SocketAddr>,
@@ -43,11 +44,11 @@
 }
 
 impl Fabric {
-    /// Creates a fabric in front of the entries' fabric addresses.
+    /// Creates a fabric that sends to the entries' `fabric` addresses.
     ///
     /// # Errors
     ///
-    /// What the system reported when the socket was opened.
+    /// Returns an I/O error if the socket can't be opened.
     pub fn new(entries: &[SocketAddr]) -> io::Result<Self> {
         Ok(Self {
             entries: entries.to_vec(),
@@ -56,12 +57,12 @@
         })
     }
 
-    /// Hands a datagram to the next entry and returns which one that was.
+    /// Sends a packet to the next entry and returns that entry's address.
     ///
     /// # Errors
     ///
-    /// What the system reported; `NotFound` if there is no entry.
-    pub fn spray(&mut self, datagram: &[u8]) -> io::Result<SocketAddr> {
+    /// Returns an I/O error; `NotFound` if there is no entry.
+    pub fn spray(&mut self, packet: &[u8]) -> io::Result<SocketAddr> {
         let count = self.entries.len();
         let entry = match count {
             0 => None,
@@ -69,7 +70,7 @@
         };
         let entry = entry.ok_or(io::ErrorKind::NotFound)?;
         self.next += 1;
-        self.socket.send_to(datagram, entry)?;
+        self.socket.send_to(packet, entry)?;
         Ok(entry)
     }
 }
--- a/examples/standin/src/figure.rs
+++ b/examples/standin/src/figure.rs
@@ -1,4 +1,4 @@
-//! One measured figure.
+//! One figure measured by a benchmark.
 
 use serde::Serialize;
 
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct Figure<'a> {
-    /// What was measured.
+    /// Name of the figure.
     pub figure: &'a str,
-    /// Under which conditions.
+    /// Conditions of the measurement.
     pub case: &'a str,
-    /// The value, rounded to four digits behind the point.
+    /// Value, rounded to four decimal places.
     pub value: f64,
-    /// Its unit; empty for a ratio.
+    /// Unit; empty for a ratio.
     pub unit: &'a str,
     /// Standard error of a fitted value.
     #[serde(skip_serializing_if = "Option::is_none")]
--- a/examples/standin/src/fit.rs
+++ b/examples/standin/src/fit.rs
@@ -1,29 +1,29 @@
-//! A straight line through measured points.
+//! Linear regression of measured points.
 
 use crate::figure::Figure;
 
-/// Fewest points of a fit.
-pub const FEWEST_POINTS: usize = 4;
+/// Minimum number of points for a fit.
+pub const MIN_POINTS: usize = 4;
 
-/// Least squares fit of a straight line.
+/// Least-squares fit of a straight line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
     /// Standard error of the slope.
     pub error: f64,
     /// Value at size 0.
     pub intercept: f64,
-    /// Growth of the value for each unit of size.
+    /// Increase of the value per unit of size.
     pub slope: f64,
 }
 
 impl Fit {
-    /// Fits a line through points of size and value.
+    /// Fits a line through `(size, value)` points.
     ///
     /// # Panics
     ///
-    /// Panics for fewer than [`FEWEST_POINTS`] points.
+    /// Panics for fewer than [`MIN_POINTS`] points.
     pub fn new(points: &[(f64, f64)]) -> Self {
-        assert!(points.len() >= FEWEST_POINTS, "too few points for a fit");
+        assert!(points.len() >= MIN_POINTS, "too few points for a fit");
         let count = points.iter().map(|_| 1.0).sum::<f64>();
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
         let mean_value = points.iter().map(|(_, value)| value).sum::<f64>() / count;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Prints the slope with its error as a figure.
+    /// Prints the slope as a figure, with its standard error and the intercept.
     pub fn print(&self, figure: &str, case: &str, unit: &str) {
         Figure::new(figure, case, self.slope, unit)
             .with_error(self.error)
--- a/examples/standin/src/forwarder.rs
+++ b/examples/standin/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! A TCP forwarder that can drop or freeze what passes through it.
+//! A TCP forwarder for fault injection.
 
 use std::{
     io::{
@@ -24,97 +24,97 @@
     time::Duration, //
 };
 
-/// Pause between two looks at the state of the forwarder.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Pause between two checks of the forwarder's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long bytes are held back while the passage is delayed.
+/// Delay of each chunk of bytes in the state `Delayed`.
 const DELAY: Duration = Duration::from_millis(60);
 
-/// What the forwarder does with connections.
+/// State of a forwarder, which applies to open and new connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
 pub enum Passage {
-    /// Carries bytes both ways.
+    /// Forwards both ways.
     Open,
-    /// Closes all connections, and each new one at once.
+    /// Closes all connections, and new ones at once.
     Cut,
-    /// Keeps connections open and carries nothing.
+    /// Keeps connections open and forwards nothing.
     Frozen,
-    /// Carries bytes both ways after a while.
+    /// Forwards both ways with a delay.
     Delayed,
-    /// Carries only what the callers send.
+    /// Forwards only from clients to the target.
     OneWay,
 }
 
-/// A direction, as the caller sees it.
+/// Direction of bytes: downstream is towards the client, upstream towards the target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    Back,
-    There,
+enum Direction {
+    Downstream,
+    Upstream,
 }
 
-/// Forwards connections to one address.
+/// Forwards TCP connections to one address.
 #[derive(Debug)]
 pub struct Forwarder {
-    /// Where connections are taken.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    passage: Arc<AtomicU8>,
+    state: Arc<AtomicU8>,
 }
 
 impl Forwarder {
-    /// Begins to forward to `target`.
+    /// Starts a forwarder to `target` on a free port.
     ///
     /// # Errors
     ///
-    /// What the system reported.
+    /// Returns an I/O error if the port can't be opened.
     pub fn start(target: SocketAddr) -> io::Result<Self> {
         Self::start_at((Ipv4Addr::LOCALHOST, 0).into(), target)
     }
 
-    /// Begins to forward from an address to `target`.
+    /// Starts a forwarder to `target` that listens on `address`.
     ///
     /// # Errors
     ///
-    /// What the system reported.
+    /// Returns an I/O error if the port can't be opened.
     pub fn start_at(address: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
-        let passage = Arc::new(AtomicU8::new(Passage::Open as u8));
-        let state = passage.clone();
+        let state = Arc::new(AtomicU8::new(Passage::Open as u8));
+        let shared = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let state = state.clone();
-                thread::spawn(move || connection(&stream, target, &state));
+                let state = shared.clone();
+                thread::spawn(move || forward(&stream, target, &state));
             }
         });
-        Ok(Self { address, passage })
+        Ok(Self { address, state })
     }
 
-    /// Sets what is done with connections, the open ones too.
+    /// Sets the state, also for open connections.
     pub fn set(&self, passage: Passage) {
-        self.passage.store(passage as u8, Ordering::SeqCst);
+        self.state.store(passage as u8, Ordering::SeqCst);
     }
 }
 
-fn connection(near: &TcpStream, target: SocketAddr, state: &Arc<AtomicU8>) {
-    if !open(state, Way::There) {
+fn forward(client: &TcpStream, target: SocketAddr, state: &Arc<AtomicU8>) {
+    if !await_open(state, Direction::Upstream) {
         return;
     }
-    let Ok(far) = TcpStream::connect(target) else {
+    let Ok(upstream) = TcpStream::connect(target) else {
         return;
     };
     thread::scope(|scope| {
-        scope.spawn(|| carry(near, &far, state, Way::There));
-        carry(&far, near, state, Way::Back);
+        scope.spawn(|| copy(client, &upstream, state, Direction::Upstream));
+        copy(&upstream, client, state, Direction::Downstream);
     });
 }
 
-/// Carries one direction until either end closes.
-fn carry(mut from: &TcpStream, mut to: &TcpStream, state: &Arc<AtomicU8>, way: Way) {
+/// Copies bytes in one direction until either end closes.
+fn copy(mut from: &TcpStream, mut to: &TcpStream, state: &Arc<AtomicU8>, direction: Direction) {
     let mut buffer = vec![0; 64 * 1024];
-    // A failure to set it shows as a connection that is not cut.
-    let _set = from.set_read_timeout(Some(PAUSE));
-    while open(state, way) {
+    // If this fails, a read can block and the connection isn't cut.
+    let _set = from.set_read_timeout(Some(POLL_INTERVAL));
+    while await_open(state, direction) {
         let length = match from.read(&mut buffer) {
             Ok(0) => break,
             Ok(length) => length,
@@ -125,7 +125,7 @@
         if state.load(Ordering::SeqCst) == Passage::Delayed as u8 {
             thread::sleep(DELAY);
         }
-        if !open(state, way) || to.write_all(bytes).is_err() {
+        if !await_open(state, direction) || to.write_all(bytes).is_err() {
             break;
         }
     }
@@ -135,12 +135,14 @@
     }
 }
 
-/// Waits while nothing is carried that way; false if cut.
-fn open(state: &Arc<AtomicU8>, way: Way) -> bool {
+/// Waits while nothing is forwarded in this direction; false if connections are to be closed.
+fn await_open(state: &Arc<AtomicU8>, direction: Direction) -> bool {
     loop {
         match state.load(Ordering::SeqCst) {
-            state if state == Passage::Frozen as u8 => thread::sleep(PAUSE),
-            state if state == Passage::OneWay as u8 && way == Way::Back => thread::sleep(PAUSE),
+            state if state == Passage::Frozen as u8 => thread::sleep(POLL_INTERVAL),
+            state if state == Passage::OneWay as u8 && direction == Direction::Downstream => {
+                thread::sleep(POLL_INTERVAL)
+            }
             state => return state != Passage::Cut as u8,
         }
     }
--- a/examples/standin/src/lib.rs
+++ b/examples/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for what surrounds the system: endpoints, callers and the fabric.
+//! Stand-ins for the system's environment: endpoints, clients and the network fabric.
 //!
-//! They serve the examples and tests only and are no part of the shipped binaries.
+//! For examples, tests and benchmarks only; not part of the shipped binaries.
 
 mod announcer;
-mod caller;
+mod client;
 mod cluster;
 mod daemon;
 mod endpoint;
@@ -13,11 +13,11 @@
 mod forwarder;
 mod http;
 mod memory;
-mod pump;
+mod throughput;
 
 pub use crate::{
     announcer::Announcer,
-    caller::Caller,
+    client::Client,
     cluster::Cluster,
     daemon::{
         Daemon,
@@ -30,7 +30,7 @@
     },
     fabric::{
         Fabric,
-        datagram, //
+        gre_packet, //
     },
     figure::Figure,
     fit::Fit,
@@ -39,10 +39,10 @@
         Passage, //
     },
     http::{
-        Answer,
+        Response,
         call,
-        call_within, //
+        call_with_timeout, //
     },
     memory::resident,
-    pump::pump,
+    throughput::pump,
 };
--- a/examples/standin/src/memory.rs
+++ b/examples/standin/src/memory.rs
@@ -1,18 +1,18 @@
-//! The memory of the running process.
+//! Memory use of the running process.
 
 use std::{
     fs,
     io, //
 };
 
-/// Bytes in a page of memory.
+/// Size of a memory page.
 const PAGE_BYTES: f64 = 4096.0;
 
 /// Resident memory of the running process in bytes.
 ///
 /// # Errors
 ///
-/// What the system reported.
+/// Returns an I/O error if `/proc/self/statm` can't be read or parsed.
 pub fn resident() -> io::Result<f64> {
     let text = fs::read_to_string("/proc/self/statm")?;
     let pages = text.split(' ').nth(1).unwrap_or_default();
--- a/examples/standin/src/pump.rs
+++ b/examples/standin/src/throughput.rs
@@ -1,4 +1,4 @@
-//! Packets sent through a hop as fast as they come out again.
+//! Packet throughput of a hop.
 
 use std::{
     io,
@@ -9,12 +9,12 @@
     time::Instant,
 };
 
-/// Sends `count` packets through `hop` to `sink`, `window` of them under way at once, and returns how
-/// many came out each second. `send` sends the packet of a number; what is lost is sent again.
+/// Sends `count` packets through `hop` to `sink`, with up to `window` in flight, and returns the
+/// packets received per second. `send` sends the packet with a given number; lost packets are resent.
 ///
 /// # Errors
 ///
-/// What the system reported when a packet was sent.
+/// Returns an I/O error if a packet can't be sent.
 pub fn pump(
     hop: SocketAddr,
     sink: &UdpSocket,
@@ -25,18 +25,18 @@
     let (mut sent, mut received) = (0, 0_u32);
     let start = Instant::now();
     loop {
-        let came = usize::try_from(received).unwrap_or(usize::MAX);
-        if came >= count {
+        let delivered = usize::try_from(received).unwrap_or(usize::MAX);
+        if delivered >= count {
             break;
         }
-        while sent < count && sent - came < window {
+        while sent < count && sent - delivered < window {
             send(sent, hop)?;
             sent += 1;
         }
         match sink.recv_from(&mut buffer) {
             Ok(_) => received += 1,
             Err(_) if sent == count => break,
-            Err(_) => sent = came,
+            Err(_) => sent = delivered,
         }
     }
     Ok(f64::from(received) / start.elapsed().as_secs_f64())
