--- a/crates/edge/src/adapter.rs
+++ b/crates/edge/src/adapter.rs
@@ -21,9 +21,9 @@
 
 /// The kind of a client's packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Kind {
+pub enum PacketKind {
     /// It belongs to an established flow.
-    Later,
+    Established,
     /// It opens a flow; the number counts the copies that the client sent before it.
     Open(u32),
 }
@@ -34,7 +34,7 @@
     /// Its flow.
     pub flow: FlowKey,
     /// Its kind.
-    pub kind: Kind,
+    pub kind: PacketKind,
     /// Sequence state of its flow.
     pub progress: Progress,
     /// The reference that it carries; none in an opening packet.
@@ -62,23 +62,23 @@
     /// The document in force, as it was published.
     Document(Bytes),
     /// The call must be sent to the store with this control address.
-    Elsewhere(SocketAddrV4),
+    Redirect(SocketAddrV4),
 }
 
 /// Adapter of a platform's protocol.
-pub trait Border: 'static {
+pub trait Adapter: 'static {
     /// Decodes a datagram from a router.
     ///
     /// # Errors
     ///
     /// [`Code::PacketTruncated`] or [`Code::PacketMalformed`].
-    fn packet(datagram: &[u8]) -> Result<Packet, Code>;
+    fn decode_packet(datagram: &[u8]) -> Result<Packet, Code>;
 
     /// Encodes the datagram that forwards a packet to its endpoint.
-    fn forward(datagram: &[u8], endpoint: &Endpoint, out: &mut Vec<u8>);
+    fn encode_forward(datagram: &[u8], endpoint: &Endpoint, out: &mut Vec<u8>);
 
     /// Encodes the datagram that resets the flow of a packet.
-    fn reset(packet: &Packet, out: &mut Vec<u8>);
+    fn encode_reset(packet: &Packet, out: &mut Vec<u8>);
 
     /// The number by which the endpoint named `name` recognises packets addressed to it; none if
     /// this is not a valid name of an endpoint.
@@ -89,18 +89,21 @@
     /// # Errors
     ///
     /// [`Code::PublicationInvalid`], with a description of the fault.
-    fn document(bytes: &[u8]) -> Result<Document, (Code, Box<str>)>;
+    fn decode_document(bytes: &[u8]) -> Result<Document, (Code, Box<str>)>;
 
     /// Decodes a call.
     ///
     /// # Errors
     ///
     /// [`Code::CallUnknown`] or [`Code::AnnouncementMalformed`].
-    fn call(parts: &Parts, body: &[u8]) -> Result<Call, (Code, Box<str>)>;
+    fn decode_call(parts: &Parts, body: &[u8]) -> Result<Call, (Code, Box<str>)>;
 
     /// Encodes the response to a call.
-    fn answer(parts: &Parts, result: Result<Reply, (Code, Box<str>)>) -> Response<Full<Bytes>>;
+    fn encode_reply(
+        parts: &Parts,
+        result: Result<Reply, (Code, Box<str>)>,
+    ) -> Response<Full<Bytes>>;
 
     /// Encodes the response to a readiness request, or to an unknown path.
-    fn ready(parts: &Parts, ready: bool) -> Response<Full<Bytes>>;
+    fn encode_readiness(parts: &Parts, ready: bool) -> Response<Full<Bytes>>;
 }
--- a/crates/edge/src/control.rs
+++ b/crates/edge/src/control.rs
@@ -39,7 +39,7 @@
 
 use crate::{
     adapter::{
-        Border,
+        Adapter,
         Call,
         Reply, //
     },
@@ -57,12 +57,12 @@
 
 /// Answers calls of endpoints and operators.
 #[derive(Debug)]
-pub struct ControlHandler<B> {
-    adapter: PhantomData<B>,
+pub struct ControlHandler<A> {
+    adapter: PhantomData<A>,
     state: Rc<StoreState>,
 }
 
-impl<B> ControlHandler<B> {
+impl<A> ControlHandler<A> {
     /// Creates the handler of a store.
     pub const fn new(state: Rc<StoreState>) -> Self {
         Self {
@@ -72,13 +72,13 @@
     }
 }
 
-impl<B> Clone for ControlHandler<B> {
+impl<A> Clone for ControlHandler<A> {
     fn clone(&self) -> Self {
         Self::new(self.state.clone())
     }
 }
 
-impl<B: Border> Handler for ControlHandler<B> {
+impl<A: Adapter> Handler for ControlHandler<A> {
     type Body = Full<Bytes>;
 
     fn handle(
@@ -89,7 +89,7 @@
         async move {
             let (parts, body) = request.into_parts();
             let start = state.clock.now();
-            let result = answer::<B>(&state, &parts, body).await;
+            let result = answer::<A>(&state, &parts, body).await;
             state
                 .metrics
                 .observe_call(state.clock.now().saturating_sub(start));
@@ -97,12 +97,12 @@
                 state.metrics.count_refusal(*code);
                 log::info!(code = code.number(), path = parts.uri.path(); "{advice}");
             }
-            B::answer(&parts, result)
+            A::encode_reply(&parts, result)
         }
     }
 }
 
-async fn answer<B: Border>(
+async fn answer<A: Adapter>(
     state: &StoreState,
     parts: &Parts,
     body: Incoming,
@@ -110,19 +110,19 @@
     let body = Limited::new(body, BODY_BYTES).collect().await;
     let body = body.map_err(|error| (Code::CallUnknown, error.to_string().into()))?;
     let body = body.to_bytes();
-    match B::call(parts, &body)? {
-        Call::Announce(announcement) => announce::<B>(state, announcement).await,
+    match A::decode_call(parts, &body)? {
+        Call::Announce(announcement) => announce::<A>(state, announcement).await,
         Call::Depart(name, incarnation) => depart(state, &name, incarnation).await,
-        Call::Publish => publish::<B>(state, parts, body).await,
+        Call::Publish => publish::<A>(state, parts, body).await,
         Call::Read => read(state).await,
     }
 }
 
-async fn announce<B: Border>(
+async fn announce<A: Adapter>(
     state: &StoreState,
     announcement: Announcement,
 ) -> Result<Reply, Refusal> {
-    if B::tag(&announcement.name).is_none() {
+    if A::tag(&announcement.name).is_none() {
         let advice = format!("`{}` is no endpoint's name", announcement.name);
         return Err((Code::AnnouncementMalformed, advice.into()));
     }
@@ -191,12 +191,12 @@
     }
 }
 
-async fn publish<B: Border>(
+async fn publish<A: Adapter>(
     state: &StoreState,
     parts: &Parts,
     body: Bytes,
 ) -> Result<Reply, Refusal> {
-    let version = B::document(&body)?.version;
+    let version = A::decode_document(&body)?.version;
     let client = parts.extensions.get::<Peer>();
     let author = client.map_or(String::new(), |peer| peer.0.ip().to_string());
     let publication = Publication::new(version, &body).with_author(&author, epoch_millis());
@@ -249,7 +249,7 @@
     if !state.replica.borrow().raft().leads() {
         let advice = "no leader is known";
         let leader = state.leader().ok_or((Code::NoLeader, advice.into()))?;
-        return Ok(Submission::Redirect(Reply::Elsewhere(leader)));
+        return Ok(Submission::Redirect(Reply::Redirect(leader)));
     }
     let receiver = state.replica.borrow_mut().submit(event);
     match compio::time::timeout(CALL_TIMEOUT, receiver).await {
--- a/crates/edge/src/decisions.rs
+++ b/crates/edge/src/decisions.rs
@@ -18,8 +18,8 @@
 
 use crate::{
     adapter::{
-        Kind,
-        Packet, //
+        Packet,
+        PacketKind, //
     },
     metrics::Metrics,
 };
@@ -72,7 +72,7 @@
     /// Records the endpoint selected for an opening packet, and the state that the selection used.
     /// Other packets are ignored.
     pub fn record_placement(&self, packet: &Packet, endpoint: &Endpoint, version: u64) {
-        let Kind::Open(copy) = packet.kind else {
+        let PacketKind::Open(copy) = packet.kind else {
             return;
         };
         self.metrics.placed.inc();
@@ -82,13 +82,13 @@
         if !self.may_log(Subject::Placed) {
             return;
         }
-        let (caller, route) = (
-            packet.flow.caller.to_string(),
-            packet.flow.route.to_string(),
+        let (client, destination) = (
+            packet.flow.client.to_string(),
+            packet.flow.destination.to_string(),
         );
         let (load, own) = (endpoint.load(), endpoint.own_load());
         log::info!(
-            caller, route, copy, version, endpoint = &*endpoint.name,
+            caller = client, route = destination, copy, version, endpoint = &*endpoint.name,
             incarnation = endpoint.incarnation, phase = format!("{:?}", endpoint.phase),
             distance = format!("{:?}", endpoint.distance), busy = load.busy, flows = load.flows,
             own_busy = own.busy, own_flows = own.flows;
@@ -100,11 +100,14 @@
     pub fn record_orphan(&self, packet: &Packet) {
         self.metrics.orphans.inc();
         if self.may_log(Subject::Orphaned) {
-            let (caller, route) = (
-                packet.flow.caller.to_string(),
-                packet.flow.route.to_string(),
+            let (client, destination) = (
+                packet.flow.client.to_string(),
+                packet.flow.destination.to_string(),
+            );
+            log::info!(
+                caller = client, route = destination;
+                "an idle flow was reset: its endpoint has left or is out of reach"
             );
-            log::info!(caller, route; "an idle flow was reset: its endpoint has left or is out of reach");
         }
     }
 
@@ -114,12 +117,15 @@
         if !self.may_log(Subject::Refused(code)) {
             return;
         }
-        let (caller, route) = (
-            packet.flow.caller.to_string(),
-            packet.flow.route.to_string(),
+        let (client, destination) = (
+            packet.flow.client.to_string(),
+            packet.flow.destination.to_string(),
         );
         let reference = packet.reference.map(Reference::number);
-        log::info!(code = code.number(), caller, route, reference, version; "{}", code.meaning());
+        log::info!(
+            code = code.number(), caller = client, route = destination, reference, version;
+            "{}", code.meaning()
+        );
     }
 
     /// Records a datagram that could not be received or sent.
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -23,7 +23,7 @@
 use rand::seq::IteratorRandom as _;
 
 use crate::{
-    adapter::Border,
+    adapter::Adapter,
     backoff::Backoff,
     entry::Entry,
     frames::{
@@ -80,17 +80,17 @@
 }
 
 /// Starts a task for each followed store.
-pub fn start<B: Border>(entry: &Rc<Entry>) {
+pub fn start<A: Adapter>(entry: &Rc<Entry>) {
     let stores = Rc::new(RefCell::new(Stores {
         followed: [None; FOLLOWED_STORES],
         known: BTreeSet::new(),
     }));
     for slot in 0..FOLLOWED_STORES {
-        spawn(follow::<B>(entry.clone(), stores.clone(), slot)).detach();
+        spawn(follow::<A>(entry.clone(), stores.clone(), slot)).detach();
     }
 }
 
-async fn follow<B: Border>(entry: Rc<Entry>, stores: Rc<RefCell<Stores>>, slot: usize) {
+async fn follow<A: Adapter>(entry: Rc<Entry>, stores: Rc<RefCell<Stores>>, slot: usize) {
     let mut last = None;
     let mut backoff = Backoff::quick();
     let mut staleness = Staleness::default();
@@ -110,7 +110,7 @@
                 last = Some(address);
                 backoff.succeed();
                 let Err(error) =
-                    session::<B>(&entry, &stores, slot, address, stream, &mut staleness).await;
+                    session::<A>(&entry, &stores, slot, address, stream, &mut staleness).await;
                 log::info!(store = address.to_string(), reason = error.to_string(); "a store is followed no longer");
             }
             Ok((address, _)) => {
@@ -122,7 +122,7 @@
         }
         set_followed(&stores, slot, None);
         let now = entry.clock.now();
-        entry.view.borrow_mut().disconnect(now, slot, B::tag);
+        entry.view.borrow_mut().disconnect(now, slot, A::tag);
         compio::time::sleep(backoff.fail()).await;
     }
 }
@@ -160,7 +160,7 @@
     }
 }
 
-async fn session<B: Border>(
+async fn session<A: Adapter>(
     entry: &Entry,
     stores: &RefCell<Stores>,
     slot: usize,
@@ -175,7 +175,7 @@
     };
     sender.send(&hello).await?;
     log::info!(store = address.to_string(); "a store is followed");
-    let receiving = pin!(receive_pushes::<B>(
+    let receiving = pin!(receive_pushes::<A>(
         entry, stores, slot, receiver, staleness
     ));
     let sending = pin!(send_reports(entry, slot, sender.retype()));
@@ -184,7 +184,7 @@
     }
 }
 
-async fn receive_pushes<B: Border>(
+async fn receive_pushes<A: Adapter>(
     entry: &Entry,
     stores: &RefCell<Stores>,
     slot: usize,
@@ -201,7 +201,7 @@
             stores.known = push.stores.iter().copied().collect();
         }
         let mut view = entry.view.borrow_mut();
-        if view.apply(entry.clock.now(), slot, push, B::tag) {
+        if view.apply(entry.clock.now(), slot, push, A::tag) {
             let (version, confirmed) = (view.version(), view.confirmed());
             log::info!(version, confirmed; "a later document is in force");
         }
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     adapter::{
-        Border,
+        Adapter,
         Packet, //
     },
     entry::Entry, //
@@ -35,7 +35,7 @@
 ///
 /// One wait for the socket covers all datagrams that have arrived by then; each takes two system
 /// calls.
-pub async fn forward<B: Border>(entry: Rc<Entry>, socket: Rc<PollFd<UdpSocket>>, port: u16) {
+pub async fn forward<A: Adapter>(entry: Rc<Entry>, socket: Rc<PollFd<UdpSocket>>, port: u16) {
     let mut buffer = [0; DATAGRAM_BYTES];
     let mut out = Vec::with_capacity(DATAGRAM_BYTES);
     loop {
@@ -48,7 +48,7 @@
             match socket.recv(&mut buffer) {
                 Ok(length) => {
                     let datagram = buffer.get(..length).unwrap_or_default();
-                    handle::<B>(&entry, &socket, datagram, port, &mut out).await;
+                    handle::<A>(&entry, &socket, datagram, port, &mut out).await;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 // A delivery error of an earlier datagram; the next one may succeed.
@@ -58,7 +58,7 @@
     }
 }
 
-async fn handle<B: Border>(
+async fn handle<A: Adapter>(
     entry: &Entry,
     socket: &PollFd<UdpSocket>,
     datagram: &[u8],
@@ -68,7 +68,7 @@
     entry.packet_at.set(entry.clock.now());
     entry.decisions.metrics.packets.inc();
     out.clear();
-    let sent = match route::<B>(entry, datagram, port, out) {
+    let sent = match route::<A>(entry, datagram, port, out) {
         Some(to) => send(socket, out, to).await,
         None => Ok(()),
     };
@@ -89,13 +89,13 @@
 }
 
 /// Routes a datagram; writes the outgoing one to `out` and returns its destination.
-fn route<B: Border>(
+fn route<A: Adapter>(
     entry: &Entry,
     datagram: &[u8],
     port: u16,
     out: &mut Vec<u8>,
 ) -> Option<SocketAddr> {
-    let packet = match B::packet(datagram) {
+    let packet = match A::decode_packet(datagram) {
         Ok(packet) => packet,
         Err(code) => {
             entry.decisions.record_malformed(code);
@@ -110,7 +110,7 @@
             entry
                 .decisions
                 .record_placement(&packet, endpoint, view.version());
-            B::forward(datagram, endpoint, out);
+            A::encode_forward(datagram, endpoint, out);
             return Some(endpoint.address.into());
         }
         Err(code) => code,
@@ -118,11 +118,11 @@
     entry
         .decisions
         .record_refusal(&packet, code, view.version());
-    reset::<B>(&packet, code, port, out)
+    reset::<A>(&packet, code, port, out)
 }
 
 /// Resets a flow without a usable endpoint, so that its client does not wait for a timeout.
-fn reset<B: Border>(
+fn reset<A: Adapter>(
     packet: &Packet,
     code: Code,
     port: u16,
@@ -133,8 +133,8 @@
         | Code::FlowEndpointUnreachable
         | Code::FlowNoEndpoint
         | Code::PacketAddress => {
-            B::reset(packet, out);
-            Some(SocketAddrV4::new(*packet.flow.caller.ip(), port).into())
+            A::encode_reset(packet, out);
+            Some(SocketAddrV4::new(*packet.flow.client.ip(), port).into())
         }
         _ => None,
     }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,6 +1,6 @@
 //! Entries and stores of a deployment whose flows carry a reference to their endpoint.
 //!
-//! A [`Border`] implements the protocol of a platform, on which nothing else here depends. All
+//! An [`Adapter`] implements the protocol of a platform, on which nothing else here depends. All
 //! tasks of a process run on one thread. The logic is in the state machines of the packages
 //! `announcements`, `placement` and `store`; this package connects them to the sockets, the disk
 //! and the clock.
@@ -42,10 +42,10 @@
 
 pub use crate::{
     adapter::{
-        Border,
+        Adapter,
         Call,
-        Kind,
         Packet,
+        PacketKind,
         Reply, //
     },
     backoff::Backoff,
--- a/crates/edge/src/readiness.rs
+++ b/crates/edge/src/readiness.rs
@@ -16,18 +16,18 @@
 use process::Handler;
 
 use crate::{
-    adapter::Border,
+    adapter::Adapter,
     entry::Entry, //
 };
 
 /// Answers readiness checks of routers.
 #[derive(Debug)]
-pub struct ReadinessHandler<B> {
-    adapter: PhantomData<B>,
+pub struct ReadinessHandler<A> {
+    adapter: PhantomData<A>,
     entry: Rc<Entry>,
 }
 
-impl<B> ReadinessHandler<B> {
+impl<A> ReadinessHandler<A> {
     /// Creates the handler of an entry.
     pub const fn new(entry: Rc<Entry>) -> Self {
         Self {
@@ -37,13 +37,13 @@
     }
 }
 
-impl<B> Clone for ReadinessHandler<B> {
+impl<A> Clone for ReadinessHandler<A> {
     fn clone(&self) -> Self {
         Self::new(self.entry.clone())
     }
 }
 
-impl<B: Border> Handler for ReadinessHandler<B> {
+impl<A: Adapter> Handler for ReadinessHandler<A> {
     type Body = Full<Bytes>;
 
     fn handle(
@@ -51,7 +51,7 @@
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<Self::Body>> + 'static {
         let (parts, _) = request.into_parts();
-        let response = B::ready(&parts, self.entry.ready());
+        let response = A::encode_readiness(&parts, self.entry.ready());
         async move { response }
     }
 }
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -9,7 +9,7 @@
 use process::Handlers;
 
 use crate::{
-    adapter::Border,
+    adapter::Adapter,
     error::Error,
     logs, run_entry, run_store,
     settings::{
@@ -19,8 +19,8 @@
 };
 
 /// Runs a process with a settings file and the adapter of a platform.
-pub fn run<B: Border>(path: &Path) -> ExitCode {
-    match start::<B>(path) {
+pub fn run<A: Adapter>(path: &Path) -> ExitCode {
+    match start::<A>(path) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("mimosausher: {error}");
@@ -29,13 +29,13 @@
     }
 }
 
-fn start<B: Border>(path: &Path) -> Result<(), Error> {
+fn start<A: Adapter>(path: &Path) -> Result<(), Error> {
     let handlers = Handlers::new().map_err(Error::Runtime)?;
     let settings = Settings::read(path)?;
     let _log = logs::start()?;
     let runtime = Runtime::new().map_err(Error::Runtime)?;
     match settings.role {
-        Role::Entry => runtime.block_on(run_entry::serve::<B>(settings, path, handlers)),
-        Role::Store => runtime.block_on(run_store::serve::<B>(settings, path, handlers)),
+        Role::Entry => runtime.block_on(run_entry::serve::<A>(settings, path, handlers)),
+        Role::Store => runtime.block_on(run_store::serve::<A>(settings, path, handlers)),
     }
 }
--- a/crates/edge/src/run_entry.rs
+++ b/crates/edge/src/run_entry.rs
@@ -24,7 +24,7 @@
 };
 
 use crate::{
-    adapter::Border,
+    adapter::Adapter,
     admin,
     entry::Entry,
     error::Error,
@@ -50,7 +50,7 @@
 const KILL_MARGIN: Duration = Duration::from_millis(800);
 
 /// Runs an entry until its graceful shutdown is complete.
-pub async fn serve<B: Border>(
+pub async fn serve<A: Adapter>(
     settings: Settings,
     path: &Path,
     handlers: Handlers,
@@ -65,16 +65,16 @@
     let entry = Rc::new(Entry::new(settings));
     log::info!(name = &*entry.settings.name; "an entry has started");
     let port = packets.port();
-    spawn(forward::<B>(entry.clone(), socket.clone(), port)).detach();
+    spawn(forward::<A>(entry.clone(), socket.clone(), port)).detach();
     spawn(process::serve(
         entry.stop.clone(),
         listener,
-        ReadinessHandler::<B>::new(entry.clone()),
+        ReadinessHandler::<A>::new(entry.clone()),
     ))
     .detach();
     admin::serve(entry.clone()).await;
-    follow::start::<B>(&entry);
-    spawn(tick::<B>(entry.clone(), socket, port)).detach();
+    follow::start::<A>(&entry);
+    spawn(tick::<A>(entry.clone(), socket, port)).detach();
     let apply = |settings: Settings| *entry.seeds.borrow_mut() = settings.seed_addresses();
     reload_until_stop(signals, path, apply).await?;
     entry.stop.begin();
@@ -97,7 +97,7 @@
     }
 }
 
-async fn tick<B: Border>(entry: Rc<Entry>, socket: Rc<PollFd<UdpSocket>>, port: u16) {
+async fn tick<A: Adapter>(entry: Rc<Entry>, socket: Rc<PollFd<UdpSocket>>, port: u16) {
     loop {
         compio::time::sleep(TICK_INTERVAL).await;
         let now = entry.clock.now();
@@ -105,9 +105,9 @@
         let orphans = entry.view.borrow_mut().orphans(now);
         for packet in orphans {
             let mut out = Vec::new();
-            B::reset(&packet, &mut out);
+            A::encode_reset(&packet, &mut out);
             entry.decisions.record_orphan(&packet);
-            let to = SocketAddrV4::new(*packet.flow.caller.ip(), port);
+            let to = SocketAddrV4::new(*packet.flow.client.ip(), port);
             if let Err(error) = socket.send_to(&out, to) {
                 entry.decisions.record_io_error(&error);
             }
--- a/crates/edge/src/run_store.rs
+++ b/crates/edge/src/run_store.rs
@@ -44,7 +44,7 @@
 };
 
 use crate::{
-    adapter::Border,
+    adapter::Adapter,
     admin,
     clock::Clock,
     control::ControlHandler,
@@ -77,7 +77,7 @@
 const DRAIN_TIME: Duration = Duration::from_millis(300);
 
 /// Runs a store until its graceful shutdown is complete.
-pub async fn serve<B: Border>(
+pub async fn serve<A: Adapter>(
     settings: Settings,
     path: &Path,
     handlers: Handlers,
@@ -95,11 +95,11 @@
         "a store has started"
     );
     spawn(internal_server::accept(state.clone(), internal_listener)).detach();
-    spawn(drive::<B>(state.clone(), folder)).detach();
+    spawn(drive::<A>(state.clone(), folder)).detach();
     spawn(document_file::persist(state.clone())).detach();
     spawn(endpoint_file::persist(state.clone())).detach();
     spawn(tick(state.clone())).detach();
-    let handler = ControlHandler::<B>::new(state.clone());
+    let handler = ControlHandler::<A>::new(state.clone());
     spawn(process::serve(state.stop.clone(), listener, handler)).detach();
     admin::serve(state.clone()).await;
     links::connect_stores(&state, state.settings.seed_addresses());
@@ -248,8 +248,8 @@
 }
 
 /// Connects the replica to the process.
-struct Driver<'a, B> {
-    adapter: std::marker::PhantomData<B>,
+struct Driver<'a, A> {
+    adapter: std::marker::PhantomData<A>,
     /// Whether the store was up to date with a quorum when events were last handled.
     current: Cell<bool>,
     state: &'a StoreState,
@@ -257,8 +257,8 @@
     version: Cell<u64>,
 }
 
-async fn drive<B: Border>(state: Rc<StoreState>, folder: Folder) {
-    let driver = Driver::<B> {
+async fn drive<A: Adapter>(state: Rc<StoreState>, folder: Folder) {
+    let driver = Driver::<A> {
         adapter: std::marker::PhantomData,
         current: Cell::new(false),
         state: &state,
@@ -268,10 +268,10 @@
     replica::run(&driver, folder).await;
 }
 
-impl<B: Border> Driver<'_, B> {
+impl<A: Adapter> Driver<'_, A> {
     fn apply_document(&self, publication: &Publication) {
         self.version.set(publication.version);
-        match B::document(&publication.bytes) {
+        match A::decode_document(&publication.bytes) {
             Ok(document) => {
                 *self.state.document.borrow_mut() = Some(Rc::new(document));
                 log::info!(version = publication.version; "a later document is in force");
@@ -283,7 +283,7 @@
     }
 }
 
-impl<B: Border> Surroundings for Driver<'_, B> {
+impl<A: Adapter> Surroundings for Driver<'_, A> {
     fn handled(&self) {
         let replica = self.state.replica.borrow();
         let current = replica.raft().current(self.state.clock.now());
--- a/crates/edge/src/view.rs
+++ b/crates/edge/src/view.rs
@@ -30,8 +30,8 @@
 
 use crate::{
     adapter::{
-        Kind,
-        Packet, //
+        Packet,
+        PacketKind, //
     },
     document::Document,
     locality::Locality,
@@ -66,7 +66,7 @@
 
 /// Targets of a route.
 #[derive(Clone, Debug)]
-struct Destination {
+struct RouteTargets {
     /// Whether the route's requests may be retried after any failure.
     repeatable: bool,
     targets: Box<[Target]>,
@@ -87,7 +87,7 @@
     pool: Pool,
     /// Announcement records; prevents older records from replacing later ones.
     registry: Registry,
-    routes: HashMap<SocketAddrV4, Destination>,
+    routes: HashMap<SocketAddrV4, RouteTargets>,
     sources: [Source; FOLLOWED_STORES],
     /// Version of the document in force; 0 if there is none.
     version: u64,
@@ -248,23 +248,23 @@
         random: &mut impl Rng,
     ) -> Result<EndpointKey, Code> {
         match packet.kind {
-            Kind::Later => {
-                let route = self.routes.get(&packet.flow.route);
+            PacketKind::Established => {
+                let route = self.routes.get(&packet.flow.destination);
                 let repeatable = route.is_some_and(|route| route.repeatable);
                 let (flow, progress) = (packet.flow, packet.progress);
                 self.pool
                     .lookup(now, flow, packet.reference, progress, repeatable)
             }
-            Kind::Open(_) if !self.accepts_flows(now) => Err(Code::EntryStarting),
-            Kind::Open(_) => {
-                let FlowKey { route, .. } = packet.flow;
+            PacketKind::Open(_) if !self.accepts_flows(now) => Err(Code::EntryStarting),
+            PacketKind::Open(_) => {
+                let FlowKey { destination, .. } = packet.flow;
                 let unknown = match self.confirmed {
                     true => Code::PacketAddress,
                     // A later document may have the route.
                     false => Code::EntryStarting,
                 };
-                let destination = self.routes.get(&route).ok_or(unknown)?;
-                let targets = &destination.targets;
+                let route = self.routes.get(&destination).ok_or(unknown)?;
+                let targets = &route.targets;
                 match self.pool.open(now, packet.flow, targets, random) {
                     Err(Code::FlowNoEndpoint) if now < self.learning_until => {
                         Err(Code::EntryStarting)
@@ -282,7 +282,7 @@
         orphans
             .map(|(flow, acknowledged)| Packet {
                 flow,
-                kind: Kind::Later,
+                kind: PacketKind::Established,
                 progress: Progress {
                     acknowledged,
                     ..Progress::default()
@@ -325,11 +325,11 @@
                         weight: share.weight,
                     })
                 });
-                let destination = Destination {
+                let route_targets = RouteTargets {
                     repeatable: route.repeatable,
                     targets: targets.collect(),
                 };
-                (route.address, destination)
+                (route.address, route_targets)
             })
             .collect();
     }
@@ -372,13 +372,13 @@
         .with_phase(phase)
         .with_slots(announcement.slots)
         .with_tag(tag(name).unwrap_or_default())
-        .with_warm(warmup_end);
+        .with_warmup_end(warmup_end);
         let distance = self.locality.distance(&announcement.centre);
         self.pool.update(endpoint.with_distance(distance));
     }
 
     fn update_load(&mut self, loaded: EndpointLoad) {
-        if let Some(reference) = Reference::read(loaded.reference) {
+        if let Some(reference) = Reference::from_number(loaded.reference) {
             let load = Load {
                 busy: loaded.busy,
                 flows: loaded.flows,
--- a/crates/edge/tests/view.rs
+++ b/crates/edge/tests/view.rs
@@ -11,9 +11,9 @@
 use mimosausher_edge::{
     Document,
     EndpointLoad,
-    Kind,
     Locality,
     Packet,
+    PacketKind,
     Push,
     Route,
     Share,
@@ -82,10 +82,10 @@
 fn open(port: u16) -> Packet {
     Packet {
         flow: FlowKey {
-            caller: format!("100.64.0.1:{port}").parse().unwrap(),
-            route: "198.18.0.1:443".parse().unwrap(),
+            client: format!("100.64.0.1:{port}").parse().unwrap(),
+            destination: "198.18.0.1:443".parse().unwrap(),
         },
-        kind: Kind::Open(0),
+        kind: PacketKind::Open(0),
         progress: Progress::default(),
         reference: None,
     }
@@ -149,7 +149,7 @@
     assert_eq!(harness.route(at(110), &open(1)), Ok("i-1".into()));
     assert!(!harness.view.ready());
     let mut elsewhere = open(2);
-    elsewhere.flow.route = "198.18.0.9:1".parse().unwrap();
+    elsewhere.flow.destination = "198.18.0.9:1".parse().unwrap();
     assert_eq!(
         harness.route(at(110), &elsewhere),
         Err(Code::EntryStarting),
@@ -176,7 +176,7 @@
     let mut harness = Harness::new();
     harness.apply(0, push(Some(document(7, &["s"])), vec![]));
     let mut packet = open(1);
-    packet.flow.route = "198.18.0.9:1".parse().unwrap();
+    packet.flow.destination = "198.18.0.9:1".parse().unwrap();
     assert_eq!(harness.route(at(20), &packet), Err(Code::PacketAddress));
 }
 
@@ -218,7 +218,7 @@
     loaded.loads = vec![EndpointLoad {
         busy: 9,
         flows: 9,
-        reference: Reference::to("i-1").number(),
+        reference: Reference::from_name("i-1").number(),
     }];
     harness.apply(0, loaded);
     let busy = |harness: &Harness| {
--- a/crates/placement/benches/capacity.rs
+++ b/crates/placement/benches/capacity.rs
@@ -83,8 +83,8 @@
 
 fn flow(number: u32) -> FlowKey {
     FlowKey {
-        caller: SocketAddrV4::new(Ipv4Addr::from(0x6440_0000 + number), 40_000),
-        route: "198.18.0.1:443".parse().unwrap(),
+        client: SocketAddrV4::new(Ipv4Addr::from(0x6440_0000 + number), 40_000),
+        destination: "198.18.0.1:443".parse().unwrap(),
     }
 }
 
@@ -104,7 +104,7 @@
 /// Nanoseconds to find the endpoint of a subsequent packet, with `flows` flows in turn.
 fn lookup(pool: &mut Pool, flows: u32) -> f64 {
     let flows: Vec<_> = (0..flows).map(flow).collect();
-    let reference = Some(Reference::to(&name(1)));
+    let reference = Some(Reference::from_name(&name(1)));
     let mut send = |number: u32, flow: &FlowKey| {
         let now = Duration::from_millis(u64::from(number));
         let progress = Progress {
--- a/crates/placement/src/endpoint.rs
+++ b/crates/placement/src/endpoint.rs
@@ -103,7 +103,7 @@
             own_load: Load::default(),
             phase: Phase::Ready,
             answered_at: None,
-            reference: Reference::to(name),
+            reference: Reference::from_name(name),
             response_time: None,
             service,
             slots: 1,
@@ -132,7 +132,7 @@
     }
 
     /// Sets when its warm-up ends.
-    pub const fn with_warm(mut self, warmup_end: Duration) -> Self {
+    pub const fn with_warmup_end(mut self, warmup_end: Duration) -> Self {
         self.warmup_end = warmup_end;
         self
     }
--- a/crates/placement/src/flow.rs
+++ b/crates/placement/src/flow.rs
@@ -20,9 +20,9 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct FlowKey {
     /// Address of the client.
-    pub caller: SocketAddrV4,
+    pub client: SocketAddrV4,
     /// Address of the route that the client connects to.
-    pub route: SocketAddrV4,
+    pub destination: SocketAddrV4,
 }
 
 /// An entry's state for a flow that it forwards. Packets are forwarded correctly without it.
--- a/crates/placement/src/reference.rs
+++ b/crates/placement/src/reference.rs
@@ -16,7 +16,7 @@
 
 impl Reference {
     /// Computes the reference to the endpoint named `name`.
-    pub fn to(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         let mut hasher = SipHasher13::new();
         hasher.write(name.as_bytes());
         let hash = hasher.finish();
@@ -26,7 +26,7 @@
     }
 
     /// Decodes the reference field of a packet; none if the field is zero.
-    pub fn read(number: u32) -> Option<Self> {
+    pub fn from_number(number: u32) -> Option<Self> {
         NonZeroU32::new(number).map(Self)
     }
 
--- a/crates/placement/tests/load.rs
+++ b/crates/placement/tests/load.rs
@@ -62,7 +62,7 @@
     /// Reports the load of an endpoint from other entries to all entries.
     fn report(&mut self, name: &str, load: Load) {
         for (pool, _) in &mut self.entries {
-            pool.set_external_load(Reference::to(name), load);
+            pool.set_external_load(Reference::from_name(name), load);
         }
     }
 
@@ -70,8 +70,8 @@
     fn open(&mut self, now: Duration, port: u16) {
         for (entry, (pool, random)) in self.entries.iter_mut().enumerate() {
             let flow = FlowKey {
-                caller: format!("100.64.1.{entry}:{port}").parse().unwrap(),
-                route: "198.18.0.1:443".parse().unwrap(),
+                client: format!("100.64.1.{entry}:{port}").parse().unwrap(),
+                destination: "198.18.0.1:443".parse().unwrap(),
             };
             let key = pool.open(now, flow, &self.targets, random).unwrap();
             let name = pool.get(key).unwrap().name.clone();
@@ -182,8 +182,8 @@
             pool.tick(now);
         }
         let flow = FlowKey {
-            caller: format!("100.64.1.1:{}", step + 1).parse().unwrap(),
-            route: "198.18.0.1:443".parse().unwrap(),
+            client: format!("100.64.1.1:{}", step + 1).parse().unwrap(),
+            destination: "198.18.0.1:443".parse().unwrap(),
         };
         let key = pool.open(now, flow, &entries.targets, random).unwrap();
         let name = pool.get(key).unwrap().name.clone();
@@ -191,7 +191,7 @@
             *(if step < 100 { &mut early } else { &mut late }) += 1;
             continue;
         }
-        let reference = Some(Reference::to(&name));
+        let reference = Some(Reference::from_name(&name));
         pool.lookup(now, flow, reference, Progress::default(), true)
             .unwrap();
     }
@@ -211,14 +211,14 @@
         pool.tick(start);
         for port in 0..4 {
             let flow = FlowKey {
-                caller: format!("100.64.1.1:{}", round * 4 + port).parse().unwrap(),
-                route: "198.18.0.1:443".parse().unwrap(),
+                client: format!("100.64.1.1:{}", round * 4 + port).parse().unwrap(),
+                destination: "198.18.0.1:443".parse().unwrap(),
             };
             let key = pool.open(start, flow, &entries.targets, random).unwrap();
             let name = pool.get(key).unwrap().name.clone();
             let response_ms = if *name == *"i-0" { 150 } else { 30 };
             slow += u32::from(response_ms == 150);
-            let reference = Some(Reference::to(&name));
+            let reference = Some(Reference::from_name(&name));
             let request = Progress {
                 length: 10,
                 ..Progress::default()
--- a/crates/placement/tests/pool.rs
+++ b/crates/placement/tests/pool.rs
@@ -26,8 +26,8 @@
 
 fn flow(port: u16) -> FlowKey {
     FlowKey {
-        caller: format!("100.64.0.1:{port}").parse().unwrap(),
-        route: "198.18.0.1:443".parse().unwrap(),
+        client: format!("100.64.0.1:{port}").parse().unwrap(),
+        destination: "198.18.0.1:443".parse().unwrap(),
     }
 }
 
@@ -82,7 +82,7 @@
         packet: Progress,
         repeatable: bool,
     ) -> Result<(), Code> {
-        let reference = Some(Reference::to(name));
+        let reference = Some(Reference::from_name(name));
         let found = self
             .pool
             .lookup(now, flow(port), reference, packet, repeatable);
@@ -123,7 +123,7 @@
     let mut harness = Harness::new(2);
     let unknown = harness.pool.lookup(ms(0), flow(1), None, REQUEST, true);
     assert_eq!(unknown, Err(Code::FlowUnknown));
-    let other = Some(Reference::to("i-77"));
+    let other = Some(Reference::from_name("i-77"));
     let unknown = harness.pool.lookup(ms(0), flow(1), other, REQUEST, true);
     assert_eq!(unknown, Err(Code::FlowUnknown));
 }
@@ -302,7 +302,7 @@
         Ok(())
     );
     let mut orphans = harness.pool.orphans(ms(1_600));
-    orphans.sort_by_key(|(flow, _)| flow.caller);
+    orphans.sort_by_key(|(flow, _)| flow.client);
     // The flow whose pending request must run at most once is kept.
     assert_eq!(orphans, [(flow(1), 900), (flow(2), 900)]);
     assert!(harness.pool.orphans(ms(1_700)).is_empty());
@@ -454,7 +454,7 @@
     let (one, two) = (0_u64..)
         .find_map(|number| {
             let name = format!("i-{number:x}");
-            let former = seen.insert(Reference::to(&name), name.clone());
+            let former = seen.insert(Reference::from_name(&name), name.clone());
             former.map(|former| (former, name))
         })
         .unwrap();
--- a/crates/placement/tests/resets.rs
+++ b/crates/placement/tests/resets.rs
@@ -103,8 +103,8 @@
 
 fn flow(number: usize) -> FlowKey {
     FlowKey {
-        caller: format!("100.64.0.1:{}", number + 1).parse().unwrap(),
-        route: "198.18.0.1:443".parse().unwrap(),
+        client: format!("100.64.0.1:{}", number + 1).parse().unwrap(),
+        destination: "198.18.0.1:443".parse().unwrap(),
     }
 }
 
@@ -226,7 +226,7 @@
             length,
             sequence: client.sequence,
         };
-        let reference = Some(Reference::to("i-1"));
+        let reference = Some(Reference::from_name("i-1"));
         let found = self
             .pool
             .lookup(self.now, flow(number), reference, progress, true);
