--- a/crates/cli/src/audit.rs
+++ b/crates/cli/src/audit.rs
@@ -2,7 +2,7 @@
 
 use wire::{
     AuditLine,
-    Outcome, //
+    EditOutcome, //
 };
 
 use crate::{
@@ -36,10 +36,10 @@
 
 fn row(line: &AuditLine) -> [String; 6] {
     let result = match &line.outcome {
-        Outcome::Accepted { revision, version } => {
+        EditOutcome::Accepted { revision, version } => {
             format!("version {version}, revision {revision}")
         }
-        Outcome::Refused { code, .. } => format!("refused, {} {}", code.number(), code.name()),
+        EditOutcome::Refused { code, .. } => format!("refused, {} {}", code.number(), code.name()),
     };
     [
         timestamp::format(line.time),
--- a/crates/cli/src/edits.rs
+++ b/crates/cli/src/edits.rs
@@ -3,8 +3,8 @@
 use codes::Code;
 use wire::{
     Edit,
-    Outcome,
-    PastVersion, //
+    EditOutcome,
+    SectionVersion, //
 };
 
 use crate::{
@@ -42,17 +42,17 @@
         report(client, edit, &outcome).await;
     }
     Ok(match outcome {
-        Outcome::Accepted { .. } => Exit::Success,
-        Outcome::Refused { .. } => Exit::Refused,
+        EditOutcome::Accepted { .. } => Exit::Success,
+        EditOutcome::Refused { .. } => Exit::Refused,
     })
 }
 
-async fn submit(client: &Client, edit: &Edit, id: &str) -> Result<Outcome, Error> {
+async fn submit(client: &Client, edit: &Edit, id: &str) -> Result<EditOutcome, Error> {
     // Whether an earlier attempt may have been applied.
     let mut uncertain = false;
     for _ in 0..ATTEMPTS {
         match client.post("/v1/edits", edit).await {
-            Ok(Outcome::Refused {
+            Ok(EditOutcome::Refused {
                 code: Code::EditUnknown,
                 ..
             })
@@ -71,23 +71,23 @@
 }
 
 /// Whether an outcome leaves open if an earlier attempt was applied.
-const fn inconclusive(outcome: &Outcome) -> bool {
+const fn inconclusive(outcome: &EditOutcome) -> bool {
     matches!(
         outcome,
-        Outcome::Refused {
+        EditOutcome::Refused {
             code: Code::NoLeader,
             ..
         }
     )
 }
 
-async fn report(client: &Client, edit: &Edit, outcome: &Outcome) {
+async fn report(client: &Client, edit: &Edit, outcome: &EditOutcome) {
     let section = &edit.section;
     match outcome {
-        Outcome::Accepted { revision, version } => {
+        EditOutcome::Accepted { revision, version } => {
             println!("section {section}: accepted as version {version}, revision {revision}");
         }
-        Outcome::Refused {
+        EditOutcome::Refused {
             advice,
             code,
             version,
@@ -104,14 +104,14 @@
 async fn print_conflict(client: &Client, edit: &Edit, version: u64) {
     let section = &edit.section;
     let path = format!("/v1/history?section={section}");
-    let Ok(history) = client.get::<Vec<PastVersion>>(&path).await else {
+    let Ok(history) = client.get::<Vec<SectionVersion>>(&path).await else {
         return println!("cannot read the history of section {section}");
     };
     let text_of = |number: u64| {
         let mut versions = history.iter();
         versions
-            .find(|past| past.version == number)
-            .map(|past| &*past.text)
+            .find(|kept| kept.version == number)
+            .map(|kept| &*kept.text)
     };
     let (before, after) = match (text_of(edit.base), edit.base) {
         (Some(before), _) => (before, text_of(version).unwrap_or_default()),
--- a/crates/cli/src/history.rs
+++ b/crates/cli/src/history.rs
@@ -1,6 +1,6 @@
 //! `mimosausher history`: lists a section's versions, or prints one.
 
-use wire::PastVersion;
+use wire::SectionVersion;
 
 use crate::{
     client::Client,
@@ -18,8 +18,8 @@
 pub async fn run(client: Client, options: &History, json: bool) -> Result<(), Error> {
     let versions = fetch(&client, &options.section).await?;
     if let Some(number) = options.version {
-        let past = find(&versions, &options.section, number)?;
-        print!("{}", past.text);
+        let version = find(&versions, &options.section, number)?;
+        print!("{}", version.text);
         return Ok(());
     }
     if json {
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// Any failure of the request.
-pub async fn fetch(client: &Client, section: &str) -> Result<Vec<PastVersion>, Error> {
+pub async fn fetch(client: &Client, section: &str) -> Result<Vec<SectionVersion>, Error> {
     client.get(&format!("/v1/history?section={section}")).await
 }
 
@@ -46,26 +46,26 @@
 ///
 /// [`Error::Version`] if there is no such version.
 pub fn find<'a>(
-    versions: &'a [PastVersion],
+    versions: &'a [SectionVersion],
     section: &str,
     number: u64,
-) -> Result<&'a PastVersion, Error> {
-    let mut matching = versions.iter().filter(|past| past.version == number);
+) -> Result<&'a SectionVersion, Error> {
+    let mut matching = versions.iter().filter(|version| version.version == number);
     matching.next().ok_or_else(|| Error::Version {
         section: section.into(),
         version: number,
     })
 }
 
-fn row(past: &PastVersion) -> [String; 4] {
-    let lines = match past.text.lines().count() {
+fn row(version: &SectionVersion) -> [String; 4] {
+    let lines = match version.text.lines().count() {
         0 => "removed".into(),
         lines => lines.to_string(),
     };
     [
-        past.version.to_string(),
-        past.time.map(timestamp::format).unwrap_or_default(),
-        past.author.as_deref().unwrap_or_default().into(),
+        version.version.to_string(),
+        version.time.map(timestamp::format).unwrap_or_default(),
+        version.author.as_deref().unwrap_or_default().into(),
         lines,
     ]
 }
--- a/crates/cli/src/key.rs
+++ b/crates/cli/src/key.rs
@@ -28,7 +28,7 @@
 ///
 /// [`Error::Key`] if the file already exists or cannot be written.
 pub fn run(options: &Key) -> Result<(), Error> {
-    let holder = match (&options.admin, &options.team) {
+    let owner = match (&options.admin, &options.team) {
         (Some(_), Some(_)) => return Err(Error::Exclusive("--admin", "--team")),
         (Some(name), None) => format!("admin = {name:?}"),
         (None, Some(team)) => format!("team = {team:?}"),
@@ -47,7 +47,7 @@
         .map_err(key_error)?;
     writeln!(file, "{key}").map_err(key_error)?;
     let hash = digest(&SHA256, key.as_bytes());
-    println!("[[key]]\n{holder}\nsha256 = \"{}\"", hex(hash.as_ref()));
+    println!("[[key]]\n{owner}\nsha256 = \"{}\"", hex(hash.as_ref()));
     Ok(())
 }
 
--- a/crates/cli/src/rollback.rs
+++ b/crates/cli/src/rollback.rs
@@ -19,7 +19,7 @@
 pub async fn run(client: Client, options: &Rollback, json: bool) -> Result<Exit, Error> {
     let section = options.section.as_str();
     let versions = history::fetch(&client, section).await?;
-    let past = history::find(&versions, section, options.version)?;
+    let version = history::find(&versions, section, options.version)?;
     let base = versions.last().map_or(0, |latest| latest.version);
     let id = edits::id(options.id.as_ref());
     let edit = Edit {
@@ -28,7 +28,7 @@
         id: format!("{id}/{section}").into(),
         section: section.into(),
         team: None,
-        text: past.text.clone(),
+        text: version.text.clone(),
     };
     edits::send(&client, &edit, &id, json).await
 }
--- a/crates/cli/tests/keys.rs
+++ b/crates/cli/tests/keys.rs
@@ -34,7 +34,7 @@
     Daemon::start(cluster.folder(), "entry-keys", &text).unwrap()
 }
 
-/// Creates a key file for a holder; returns the `[[key]]` table for the instances' key file.
+/// Creates a key file for an owner; returns the `[[key]]` table for the instances' key file.
 fn key(cluster: &Cluster, kind: &str, name: &str) -> String {
     let path = cluster.folder().join(name);
     Test::new().args(["key", kind, name]).path(&path).run()
@@ -49,9 +49,9 @@
     let entry = entry(&cluster, &format!("[operators]\nkeys = {keys:?}\n"));
     let admin = entry.address("admin");
     let section = write_file(&cluster, "section.toml", SECTION);
-    let apply = |holder: &str, id: &str| {
+    let apply = |owner: &str, id: &str| {
         let test = Test::at(admin).arg("--key-file");
-        let test = test.path(&cluster.folder().join(holder));
+        let test = test.path(&cluster.folder().join(owner));
         let test = test.args([
             "apply",
             "--section",
--- a/crates/configuration/src/configuration.rs
+++ b/crates/configuration/src/configuration.rs
@@ -10,8 +10,8 @@
 
 use settings::{
     Address,
+    DEFAULT_KEEP_MS,
     Error,
-    KEEP_MS,
     Section,
     Service,
     Source, //
@@ -52,7 +52,7 @@
     /// Creates an empty configuration.
     pub fn new() -> Self {
         Self {
-            retention: Duration::from_millis(KEEP_MS),
+            retention: Duration::from_millis(DEFAULT_KEEP_MS),
             ..Self::default()
         }
     }
@@ -170,7 +170,7 @@
     fn longest_retention(&self) -> Duration {
         let services = self.services.values();
         let longest = services.map(|service| service.requests.keep_ms).max();
-        Duration::from_millis(longest.unwrap_or(KEEP_MS))
+        Duration::from_millis(longest.unwrap_or(DEFAULT_KEEP_MS))
     }
 
     fn remove(&mut self, section: &str) {
--- a/crates/daemon/src/auth.rs
+++ b/crates/daemon/src/auth.rs
@@ -30,7 +30,7 @@
     },
 };
 use settings::{
-    Holder,
+    KeyOwner,
     Keys,
     Settings,
     Tls, //
@@ -45,8 +45,8 @@
 /// Who sends a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Principal {
-    /// The holder of a key.
-    KeyHolder(Holder),
+    /// The owner of a key.
+    KeyOwner(KeyOwner),
     /// A client on this machine, which may do everything, at an instance without keys.
     Local,
     /// Any other client, which may only read, at an instance without keys.
@@ -106,7 +106,7 @@
                 let advice = "an instance without keys takes changes from loopback addresses only";
                 Err(ErrorResponse::new(Code::Unauthenticated, advice))
             }
-            (Permission::Manage, Principal::KeyHolder(Holder::Team(team))) => {
+            (Permission::Manage, Principal::KeyOwner(KeyOwner::Team(team))) => {
                 let advice = format!("the key of team `{team}` is not an admin's");
                 Err(ErrorResponse::new(Code::EditForbidden, advice))
             }
@@ -131,7 +131,7 @@
         // All keys are compared, so that the response time does not reveal which one matches.
         for key in &keys.keys {
             if bool::from(key.digest.ct_eq(hash.as_ref())) {
-                found = Some(Principal::KeyHolder(key.holder.clone()));
+                found = Some(Principal::KeyOwner(key.owner.clone()));
             }
         }
         found
--- a/crates/daemon/src/claims.rs
+++ b/crates/daemon/src/claims.rs
@@ -76,7 +76,7 @@
 impl Claims {
     /// Creates the state of a new entry, which may have missed earlier claims.
     pub fn new(view: Rc<LocalView>, settings: &Settings, known_gauge: Gauge) -> Self {
-        let retention = Duration::from_millis(settings::KEEP_MS);
+        let retention = Duration::from_millis(settings::DEFAULT_KEEP_MS);
         let holder = Holder::new(Duration::ZERO, &settings.instance.name, retention);
         Self {
             clients: RpcClients::new(view.clone()),
--- a/crates/daemon/src/convert.rs
+++ b/crates/daemon/src/convert.rs
@@ -36,15 +36,17 @@
 }
 
 /// Converts the header of a handed-over packet from the wire.
-pub fn header_from_wire(from: &wire::Handover) -> steering::Header {
+pub fn header_from_wire(from: &wire::HandoverHeader) -> steering::Header {
     let ids = from.visited.map(steering::InstanceId);
     steering::Header {
         hops: from.hops,
         origin: steering::InstanceId(from.origin),
         returns: from.returns,
         task: match from.task {
-            wire::Task::Ask => steering::Task::Ask,
-            wire::Task::Tell(endpoint) => steering::Task::Tell(steering::EndpointId(endpoint)),
+            wire::HandoverTask::Ask => steering::Task::Ask,
+            wire::HandoverTask::Tell(endpoint) => {
+                steering::Task::Tell(steering::EndpointId(endpoint))
+            }
         },
         visited: steering::Visited::from_parts(ids, from.length),
     }
@@ -52,17 +54,17 @@
 
 /// Converts the header of a packet to hand over to the wire; `sender` is the packet's source in the
 /// fabric.
-pub fn handover_to_wire(from: &steering::Header, sender: SocketAddr) -> wire::Handover {
+pub fn handover_to_wire(from: &steering::Header, sender: SocketAddr) -> wire::HandoverHeader {
     let (ids, length) = from.visited.parts();
-    wire::Handover {
+    wire::HandoverHeader {
         hops: from.hops,
         length,
         origin: from.origin.0,
         returns: from.returns,
         sender,
         task: match from.task {
-            steering::Task::Ask => wire::Task::Ask,
-            steering::Task::Tell(endpoint) => wire::Task::Tell(endpoint.0),
+            steering::Task::Ask => wire::HandoverTask::Ask,
+            steering::Task::Tell(endpoint) => wire::HandoverTask::Tell(endpoint.0),
         },
         visited: ids.map(|id| id.0),
     }
--- a/crates/daemon/src/convert_change.rs
+++ b/crates/daemon/src/convert_change.rs
@@ -7,8 +7,8 @@
 };
 use wire::{
     Delta,
-    SectionText,
-    Update, //
+    DocumentSnapshot,
+    SectionText, //
 };
 
 /// Converts changed sections from the wire.
@@ -22,7 +22,7 @@
 }
 
 /// Converts a whole document from the wire.
-pub fn change_from_update(from: Update) -> Change {
+pub fn change_from_snapshot(from: DocumentSnapshot) -> Change {
     Change {
         changed: from.sections.into_iter().map(text_from_wire).collect(),
         complete: true,
--- a/crates/daemon/src/convert_endpoint.rs
+++ b/crates/daemon/src/convert_endpoint.rs
@@ -25,9 +25,9 @@
         service: from.service,
         slots: from.slots,
         state: match from.state {
-            wire::State::Draining => State::Draining,
-            wire::State::Ready => State::Ready,
-            wire::State::Starting => State::Starting,
+            wire::EndpointState::Draining => State::Draining,
+            wire::EndpointState::Ready => State::Ready,
+            wire::EndpointState::Starting => State::Starting,
         },
     }
 }
@@ -45,9 +45,9 @@
         service: from.service.clone(),
         slots: from.slots,
         state: match from.state {
-            State::Draining => wire::State::Draining,
-            State::Ready => wire::State::Ready,
-            State::Starting => wire::State::Starting,
+            State::Draining => wire::EndpointState::Draining,
+            State::Ready => wire::EndpointState::Ready,
+            State::Starting => wire::EndpointState::Starting,
         },
     }
 }
--- a/crates/daemon/src/convert_member.rs
+++ b/crates/daemon/src/convert_member.rs
@@ -51,7 +51,7 @@
 }
 
 /// Converts a message from the wire.
-pub fn message_from_wire(from: wire::Member) -> Message {
+pub fn message_from_wire(from: wire::MembershipMessage) -> Message {
     let rumours = from.rumours.into_iter().map(|(member, standing)| Rumour {
         instance: instance_from_wire(member),
         standing: match standing {
@@ -63,11 +63,11 @@
     });
     Message {
         body: match from.body {
-            wire::Body::Ack(probe) => Body::Ack { probe },
-            wire::Body::Join => Body::Join,
-            wire::Body::Ping(probe) => Body::Ping { probe },
-            wire::Body::Request(probe, target) => Body::Request { probe, target },
-            wire::Body::Tell => Body::Tell,
+            wire::MembershipBody::Ack(probe) => Body::Ack { probe },
+            wire::MembershipBody::Join => Body::Join,
+            wire::MembershipBody::Ping(probe) => Body::Ping { probe },
+            wire::MembershipBody::Request(probe, target) => Body::Request { probe, target },
+            wire::MembershipBody::Tell => Body::Tell,
         },
         rumours: rumours.collect(),
         from: instance_from_wire(from.from),
@@ -75,14 +75,14 @@
 }
 
 /// Converts a message to the wire.
-pub fn message_to_wire(from: &Message) -> wire::Member {
-    wire::Member {
+pub fn message_to_wire(from: &Message) -> wire::MembershipMessage {
+    wire::MembershipMessage {
         body: match from.body {
-            Body::Ack { probe } => wire::Body::Ack(probe),
-            Body::Join => wire::Body::Join,
-            Body::Ping { probe } => wire::Body::Ping(probe),
-            Body::Request { probe, target } => wire::Body::Request(probe, target),
-            Body::Tell => wire::Body::Tell,
+            Body::Ack { probe } => wire::MembershipBody::Ack(probe),
+            Body::Join => wire::MembershipBody::Join,
+            Body::Ping { probe } => wire::MembershipBody::Ping(probe),
+            Body::Request { probe, target } => wire::MembershipBody::Request(probe, target),
+            Body::Tell => wire::MembershipBody::Tell,
         },
         from: instance_to_wire(&from.from),
         rumours: from
--- a/crates/daemon/src/document_sync.rs
+++ b/crates/daemon/src/document_sync.rs
@@ -10,8 +10,8 @@
 use event_listener::Event;
 use replica::Replica;
 use wire::{
-    Follow,
-    Followed, //
+    FollowReply,
+    FollowRequest, //
 };
 
 use crate::{
@@ -31,13 +31,18 @@
 
 impl DocumentSync {
     /// Answers a follower from this store's replica; `now` is the time since the process started.
-    pub fn answer(&self, replica: &RefCell<Replica>, now: Duration, follow: Follow) -> Followed {
+    pub fn answer(
+        &self,
+        replica: &RefCell<Replica>,
+        now: Duration,
+        request: FollowRequest,
+    ) -> FollowReply {
         let replica = replica.borrow();
         self.record(&replica);
         let published = self.published.borrow();
-        Followed {
+        FollowReply {
             confirmed: replica.confirmed(now),
-            delta: published.since(follow.revision).filter(|_| !follow.brief),
+            delta: published.since(request.revision).filter(|_| !request.brief),
             revision: published.revision(),
         }
     }
@@ -46,8 +51,8 @@
     /// changed.
     pub fn record(&self, replica: &Replica) {
         let mut published = self.published.borrow_mut();
-        if let Some(update) = replica_document::update_since(replica, published.revision()) {
-            published.record(update);
+        if let Some(snapshot) = replica_document::snapshot_since(replica, published.revision()) {
+            published.record(snapshot);
         }
     }
 }
--- a/crates/daemon/src/fabric.rs
+++ b/crates/daemon/src/fabric.rs
@@ -23,7 +23,7 @@
 };
 use wire::{
     FlowDatagram,
-    Handover,
+    HandoverHeader,
     MAX_DATAGRAM_BYTES,
     MAX_HANDOVER_BYTES, //
 };
@@ -91,7 +91,7 @@
 ) -> Result<Option<Outgoing>, Code> {
     // After the process was suspended, this may run before the next tick.
     node.view.directory.borrow_mut().catch_up(node.now());
-    if FlowDatagram::recognises(datagram) {
+    if FlowDatagram::is_flow_datagram(datagram) {
         return handle_flow_datagram(node, datagram, source, scratch);
     }
     let action = node.router.borrow_mut().route_packet(datagram)?;
@@ -173,7 +173,7 @@
 ) -> Result<Option<Outgoing>, Code> {
     let address = node.router.borrow().entry_address(to);
     let address = address.ok_or(Code::InstanceUnreachable)?;
-    let handover: Handover = convert::handover_to_wire(&header, origin.sender);
+    let handover: HandoverHeader = convert::handover_to_wire(&header, origin.sender);
     handover
         .encode(packet, scratch)
         .map_err(|error| error.code())?;
--- a/crates/daemon/src/follower.rs
+++ b/crates/daemon/src/follower.rs
@@ -27,8 +27,8 @@
 use tarpc::context;
 use wire::{
     Client,
-    Follow,
-    Followed, //
+    FollowReply,
+    FollowRequest, //
 };
 
 use crate::{
@@ -47,9 +47,9 @@
     number: u64,
 }
 
-/// The result of a call; `followed` is none if it failed.
+/// The result of a call; `follow_reply` is none if it failed.
 struct Reply {
-    followed: Option<Followed>,
+    follow_reply: Option<FollowReply>,
     from: SocketAddr,
     number: u64,
 }
@@ -108,10 +108,10 @@
         if current != Some(reply.number) {
             return;
         }
-        let Some(followed) = reply.followed else {
+        let Some(follow_reply) = reply.follow_reply else {
             return self.handle(Event::Lost(from), None);
         };
-        let changed = match followed.delta {
+        let changed = match follow_reply.delta {
             Some(delta) => {
                 let change = convert_change::change_from_delta(delta);
                 self.node.view.configuration.borrow().prepare(change)
@@ -121,15 +121,15 @@
         match changed {
             Ok(next) => {
                 let answer = Answer {
-                    confirmed: followed.confirmed,
-                    revision: followed.revision,
+                    confirmed: follow_reply.confirmed,
+                    revision: follow_reply.revision,
                     update: next.is_some(),
                 };
                 self.handle(Event::Answer { answer, from }, next);
             }
             Err(error) => {
                 self.node.metrics.count_refusal(error.result_code());
-                log::error!(code = error.result_code().number(), revision = followed.revision;
+                log::error!(code = error.result_code().number(), revision = follow_reply.revision;
                     "{error}");
                 self.handle(Event::Lost(from), None);
             }
@@ -172,10 +172,10 @@
         let client = upstream.client.clone();
         let replies = self.replies.clone();
         let call = async move {
-            let followed = call(&client, to, ask).await;
+            let follow_reply = call(&client, to, ask).await;
             // The receiver lives as long as the process.
             let _sent = replies.unbounded_send(Reply {
-                followed,
+                follow_reply,
                 from: to,
                 number,
             });
@@ -184,19 +184,19 @@
     }
 }
 
-async fn call(client: &RefCell<Option<Client>>, to: SocketAddr, ask: Ask) -> Option<Followed> {
+async fn call(client: &RefCell<Option<Client>>, to: SocketAddr, ask: Ask) -> Option<FollowReply> {
     let open = client.borrow().clone();
     let connected = match open {
         Some(connected) => connected,
         None => store_client::connect(to).await?,
     };
     client.replace(Some(connected.clone()));
-    let follow = Follow {
+    let request = FollowRequest {
         brief: ask.brief,
         fresh: ask.fresh,
         revision: ask.revision,
     };
-    let call = connected.follow(context::current(), follow);
+    let call = connected.follow(context::current(), request);
     compio::time::timeout(ASK_TIMEOUT, call).await.ok()?.ok()?
 }
 
@@ -208,9 +208,9 @@
     loop {
         let listener = node.replica_changed.listen();
         let revision = node.view.configuration.borrow().revision();
-        let update = replica_document::update_since(&replica.borrow(), revision);
-        let next = update.map(|update| {
-            let change = convert_change::change_from_update(update);
+        let snapshot = replica_document::snapshot_since(&replica.borrow(), revision);
+        let next = snapshot.map(|snapshot| {
+            let change = convert_change::change_from_snapshot(snapshot);
             node.view.configuration.borrow().prepare(change)
         });
         match next {
--- a/crates/daemon/src/log_members.rs
+++ b/crates/daemon/src/log_members.rs
@@ -12,11 +12,11 @@
     Member, //
 };
 use wire::{
-    Decision,
     Init,
     LogMembers,
     MemberChange,
     Proposal,
+    ProposalReply,
     StoreAddress, //
 };
 
@@ -57,8 +57,8 @@
         MemberChange::Remove(name) => Proposal::Remove(name),
     };
     match proposals::propose(node, proposal).await {
-        Decision::Changed | Decision::Outcome(_) => show(node),
-        Decision::Refused(code, advice) => Err((code, advice)),
+        ProposalReply::Changed | ProposalReply::Outcome(_) => show(node),
+        ProposalReply::Refused(code, advice) => Err((code, advice)),
     }
 }
 
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -19,7 +19,7 @@
     },
     registry::Registry, //
 };
-use wire::Refusals;
+use wire::RefusalCount;
 
 /// Bytes of the IPv4 and UDP headers of a datagram.
 const HEADER_BYTES: u64 = 28;
@@ -95,11 +95,11 @@
     }
 
     /// Returns the number of refusals of each result code.
-    pub fn refusal_counts(&self) -> Vec<Refusals> {
+    pub fn refusal_counts(&self) -> Vec<RefusalCount> {
         let refusal_counts = self.refusal_counts.borrow();
         refusal_counts
             .iter()
-            .map(|(code, count)| Refusals {
+            .map(|(code, count)| RefusalCount {
                 code: *code,
                 count: *count,
             })
--- a/crates/daemon/src/operator_api.rs
+++ b/crates/daemon/src/operator_api.rs
@@ -9,15 +9,15 @@
 use hyper::Uri;
 use process::query_value;
 use serde::Serialize;
-use settings::Holder;
+use settings::KeyOwner;
 use wire::{
-    AUDIT_LINES,
     AuditLine,
     AuditQuery,
+    DEFAULT_AUDIT_LINES,
     Edit,
-    Outcome,
-    PastVersion,
-    SectionText, //
+    EditOutcome,
+    SectionText,
+    SectionVersion, //
 };
 
 use crate::{
@@ -43,11 +43,11 @@
 }
 
 /// Submits an edit to the stores with the principal's name as its author.
-pub async fn edit(node: &Rc<Node>, principal: Principal, mut edit: Edit) -> Outcome {
+pub async fn edit(node: &Rc<Node>, principal: Principal, mut edit: Edit) -> EditOutcome {
     edit.team = None;
     match principal {
-        Principal::KeyHolder(Holder::Admin(name)) => edit.author = name,
-        Principal::KeyHolder(Holder::Team(name)) => {
+        Principal::KeyOwner(KeyOwner::Admin(name)) => edit.author = name,
+        Principal::KeyOwner(KeyOwner::Team(name)) => {
             edit.author = name.clone();
             edit.team = Some(name);
         }
@@ -57,7 +57,7 @@
         Some(_) => proposals::edit(node, edit).await,
         None => store_client::edit(node, edit).await,
     };
-    if let Outcome::Refused { code, .. } = &outcome {
+    if let EditOutcome::Refused { code, .. } = &outcome {
         node.metrics.count_refusal(*code);
     }
     outcome
@@ -75,7 +75,7 @@
             let advice = format!("`count` is not a number: {error}");
             return Err(ErrorResponse::new(Code::ValueInvalid, advice));
         }
-        None => AUDIT_LINES,
+        None => DEFAULT_AUDIT_LINES,
     };
     let section = query_value(uri, "section").map(Into::into);
     let lines = store_client::audit(node, AuditQuery { count, section }).await;
@@ -87,7 +87,7 @@
 /// # Errors
 ///
 /// The error response for the client.
-pub async fn history(node: &Node, uri: &Uri) -> Result<Vec<PastVersion>, ErrorResponse> {
+pub async fn history(node: &Node, uri: &Uri) -> Result<Vec<SectionVersion>, ErrorResponse> {
     let section = query_value(uri, "section").unwrap_or_default();
     let versions = store_client::history(node, section.into()).await;
     match versions {
--- a/crates/daemon/src/proposals.rs
+++ b/crates/daemon/src/proposals.rs
@@ -17,12 +17,12 @@
 };
 use tarpc::context;
 use wire::{
-    Decision,
     Edit,
-    Identity,
-    Outcome,
+    EditOutcome,
     Proposal,
-    StoreAddress, //
+    ProposalReply,
+    StoreAddress,
+    StoreIdentity, //
 };
 
 use crate::{
@@ -38,17 +38,17 @@
 const IDENTIFY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Proposes an edit to the leader, which may be this instance.
-pub async fn edit(node: &Rc<Node>, edit: Edit) -> Outcome {
+pub async fn edit(node: &Rc<Node>, edit: Edit) -> EditOutcome {
     match propose(node, Proposal::Edit(edit)).await {
-        Decision::Changed => refused(Code::EditUnknown, "the leader gave no outcome".into()),
-        Decision::Outcome(outcome) => outcome,
-        Decision::Refused(code, advice) => refused(code, advice),
+        ProposalReply::Changed => refused(Code::EditUnknown, "the leader gave no outcome".into()),
+        ProposalReply::Outcome(outcome) => outcome,
+        ProposalReply::Refused(code, advice) => refused(code, advice),
     }
 }
 
 /// Submits a proposal to the leader, which may be this instance. It is refused at once if no leader
 /// can accept it.
-pub async fn propose(node: &Rc<Node>, proposal: Proposal) -> Decision {
+pub async fn propose(node: &Rc<Node>, proposal: Proposal) -> ProposalReply {
     let Some(replica) = &node.replica else {
         return no_leader("this instance is not a store");
     };
@@ -57,7 +57,7 @@
     }
     if replica.borrow().raft().cluster().is_none() {
         let advice = "this store has not been initialised; run `mimosausher init`";
-        return Decision::Refused(Code::NotInitialised, advice.into());
+        return ProposalReply::Refused(Code::NotInitialised, advice.into());
     }
     let now = node.now();
     let leader = replica
@@ -72,7 +72,7 @@
 }
 
 /// Submits a proposal to this store's replica, which refuses it unless it is the leader.
-pub async fn propose_locally(node: &Rc<Node>, proposal: Proposal) -> Decision {
+pub async fn propose_locally(node: &Rc<Node>, proposal: Proposal) -> ProposalReply {
     let Some(replica) = &node.replica else {
         return no_leader("this instance is not a store");
     };
@@ -98,9 +98,9 @@
         }
     };
     match compio::time::timeout(ANSWER_TIMEOUT, receiver).await {
-        Ok(Ok(Answer::Changed)) => Decision::Changed,
-        Ok(Ok(Answer::Outcome(outcome))) => Decision::Outcome(replica::outcome(outcome)),
-        Ok(Ok(Answer::Refused(code, advice))) => Decision::Refused(code, advice),
+        Ok(Ok(Answer::Changed)) => ProposalReply::Changed,
+        Ok(Ok(Answer::Outcome(outcome))) => ProposalReply::Outcome(replica::outcome(outcome)),
+        Ok(Ok(Answer::Refused(code, advice))) => ProposalReply::Refused(code, advice),
         Ok(Ok(Answer::Current | Answer::Published(_)) | Err(_)) | Err(_) => {
             outcome_unknown("the store did not answer in time")
         }
@@ -108,28 +108,28 @@
 }
 
 /// Returns the identity of this store's data folder; none if this instance is not a store.
-pub fn identity(node: &Node) -> Option<Identity> {
+pub fn identity(node: &Node) -> Option<StoreIdentity> {
     let replica = node.replica.as_ref()?.borrow();
-    Some(Identity {
+    Some(StoreIdentity {
         cluster: replica.raft().cluster().map(|cluster| cluster.0),
         id: replica.raft().id().0,
         name: node.settings.instance.name.clone(),
     })
 }
 
-async fn forward(leader: SocketAddr, proposal: Proposal) -> Decision {
+async fn forward(leader: SocketAddr, proposal: Proposal) -> ProposalReply {
     let Some(client) = raft_transport::connect(leader).await else {
         return no_leader("the leader cannot be reached");
     };
     let call = client.propose(context::current(), proposal);
     match compio::time::timeout(ANSWER_TIMEOUT, call).await {
-        Ok(Ok(decision)) => decision,
+        Ok(Ok(reply)) => reply,
         Ok(Err(_)) | Err(_) => outcome_unknown("the leader did not answer"),
     }
 }
 
 /// Queries the identity of a store's data folder.
-async fn identify(address: SocketAddr) -> Option<Identity> {
+async fn identify(address: SocketAddr) -> Option<StoreIdentity> {
     let client = raft_transport::connect(address).await?;
     let call = client.identify(context::current());
     let answer = compio::time::timeout(IDENTIFY_TIMEOUT, call).await;
@@ -137,9 +137,9 @@
 }
 
 /// Identifies the store at an address and describes it as a non-voting member of this store's log.
-async fn identify_member(node: &Node, store: StoreAddress) -> Result<Member, Decision> {
+async fn identify_member(node: &Node, store: StoreAddress) -> Result<Member, ProposalReply> {
     let own = identity(node).and_then(|own| own.cluster);
-    let refuse = |advice: String| Decision::Refused(Code::MembersRefused, advice.into());
+    let refuse = |advice: String| ProposalReply::Refused(Code::MembersRefused, advice.into());
     let Some(identity) = identify(store.inner).await else {
         return Err(refuse(format!("no store answers at {}", store.inner)));
     };
@@ -159,18 +159,18 @@
     })
 }
 
-fn no_leader(advice: &str) -> Decision {
-    Decision::Refused(Code::NoLeader, advice.into())
+fn no_leader(advice: &str) -> ProposalReply {
+    ProposalReply::Refused(Code::NoLeader, advice.into())
 }
 
-fn refused(code: Code, advice: Box<str>) -> Outcome {
-    Outcome::Refused {
+fn refused(code: Code, advice: Box<str>) -> EditOutcome {
+    EditOutcome::Refused {
         advice,
         code,
         version: 0,
     }
 }
 
-fn outcome_unknown(advice: &str) -> Decision {
-    Decision::Refused(Code::EditUnknown, advice.into())
+fn outcome_unknown(advice: &str) -> ProposalReply {
+    ProposalReply::Refused(Code::EditUnknown, advice.into())
 }
--- a/crates/daemon/src/published.rs
+++ b/crates/daemon/src/published.rs
@@ -8,8 +8,8 @@
 };
 use wire::{
     Delta,
-    SectionText,
-    Update, //
+    DocumentSnapshot,
+    SectionText, //
 };
 
 /// The latest document of this store's replica, with the revisions at which its sections changed.
@@ -22,14 +22,14 @@
 
 impl Published {
     /// Records a later document of the replica.
-    pub fn record(&mut self, update: Update) {
-        let sections = update.sections.iter().map(|section| Section {
+    pub fn record(&mut self, snapshot: DocumentSnapshot) {
+        let sections = snapshot.sections.iter().map(|section| Section {
             name: section.name.clone(),
             version: section.version,
         });
-        self.changes.record(update.revision, sections);
-        self.revision = update.revision;
-        self.sections = update
+        self.changes.record(snapshot.revision, sections);
+        self.revision = snapshot.revision;
+        self.sections = snapshot
             .sections
             .into_iter()
             .map(|section| (section.name.clone(), section))
--- a/crates/daemon/src/replica_document.rs
+++ b/crates/daemon/src/replica_document.rs
@@ -2,17 +2,17 @@
 
 use replica::Replica;
 use wire::{
-    SectionText,
-    Update, //
+    DocumentSnapshot,
+    SectionText, //
 };
 
 /// Returns the replica's whole document if it is newer than `revision`.
-pub fn update_since(replica: &Replica, revision: u64) -> Option<Update> {
+pub fn snapshot_since(replica: &Replica, revision: u64) -> Option<DocumentSnapshot> {
     let ledger = replica.ledger();
     if ledger.revision().0 <= revision {
         return None;
     }
-    Some(Update {
+    Some(DocumentSnapshot {
         revision: ledger.revision().0,
         sections: ledger
             .sections()
--- a/crates/daemon/src/rpc_server.rs
+++ b/crates/daemon/src/rpc_server.rs
@@ -15,17 +15,17 @@
     ClaimEnd,
     ClaimRecord,
     ClaimReply,
-    Decision,
     Edit,
-    Follow,
-    Followed,
-    Identity,
+    EditOutcome,
+    FollowReply,
+    FollowRequest,
     Inner,
     LogMessage,
-    Outcome,
-    PastVersion,
     Proposal,
-    Status, //
+    ProposalReply,
+    SectionVersion,
+    Status,
+    StoreIdentity, //
 };
 
 use crate::{
@@ -78,20 +78,20 @@
         )
     }
 
-    async fn edit(self, _: Context, edit: Edit) -> Outcome {
+    async fn edit(self, _: Context, edit: Edit) -> EditOutcome {
         proposals::edit(&self.node, edit).await
     }
 
-    async fn follow(self, _: Context, follow: Follow) -> Option<Followed> {
-        store_reads::follow(&self.node, follow).await
+    async fn follow(self, _: Context, request: FollowRequest) -> Option<FollowReply> {
+        store_reads::follow(&self.node, request).await
     }
 
-    async fn history(self, _: Context, section: Box<str>) -> Option<Vec<PastVersion>> {
+    async fn history(self, _: Context, section: Box<str>) -> Option<Vec<SectionVersion>> {
         let versions = store_reads::history(&self.node, &section);
         versions.filter(|_| store_reads::confirmed(&self.node))
     }
 
-    async fn identify(self, _: Context) -> Option<Identity> {
+    async fn identify(self, _: Context) -> Option<StoreIdentity> {
         proposals::identity(&self.node)
     }
 
@@ -107,7 +107,7 @@
         }
     }
 
-    async fn propose(self, _: Context, proposal: Proposal) -> Decision {
+    async fn propose(self, _: Context, proposal: Proposal) -> ProposalReply {
         proposals::propose_locally(&self.node, proposal).await
     }
 
--- a/crates/daemon/src/store_client.rs
+++ b/crates/daemon/src/store_client.rs
@@ -17,8 +17,8 @@
     AuditQuery,
     Client,
     Edit,
-    Outcome,
-    PastVersion, //
+    EditOutcome,
+    SectionVersion, //
 };
 
 use crate::{
@@ -73,7 +73,7 @@
 /// Sends an edit to the stores, one after another, until one returns a definite outcome.
 ///
 /// The edit's id lets a store that receives it again repeat its first answer.
-pub async fn edit(node: &Rc<Node>, edit: Edit) -> Outcome {
+pub async fn edit(node: &Rc<Node>, edit: Edit) -> EditOutcome {
     let start = node.now();
     let mut last = refused(Code::NoLeader, "no store can be reached".into());
     for address in ranked_addresses(node) {
@@ -120,7 +120,7 @@
 
 /// Reads a section's versions from this instance, if it is a store, or from one that a quorum
 /// confirms.
-pub async fn history(node: &Node, section: Box<str>) -> Option<Vec<PastVersion>> {
+pub async fn history(node: &Node, section: Box<str>) -> Option<Vec<SectionVersion>> {
     if node.replica.is_some() {
         return store_reads::history(node, &section);
     }
@@ -136,15 +136,15 @@
     None
 }
 
-const fn code(outcome: &Outcome) -> Option<Code> {
+const fn code(outcome: &EditOutcome) -> Option<Code> {
     match outcome {
-        Outcome::Accepted { .. } => None,
-        Outcome::Refused { code, .. } => Some(*code),
+        EditOutcome::Accepted { .. } => None,
+        EditOutcome::Refused { code, .. } => Some(*code),
     }
 }
 
-fn refused(code: Code, advice: Box<str>) -> Outcome {
-    Outcome::Refused {
+fn refused(code: Code, advice: Box<str>) -> EditOutcome {
+    EditOutcome::Refused {
         advice,
         code,
         version: 0,
--- a/crates/daemon/src/store_reads.rs
+++ b/crates/daemon/src/store_reads.rs
@@ -6,10 +6,10 @@
 use wire::{
     AuditLine,
     AuditQuery,
-    Follow,
-    Followed,
-    Outcome,
-    PastVersion, //
+    EditOutcome,
+    FollowReply,
+    FollowRequest,
+    SectionVersion, //
 };
 
 use crate::{
@@ -21,21 +21,21 @@
 const LEADER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Answers a follower, after waiting up to [`distribution::WAIT`] for a newer document.
-pub async fn follow(node: &Node, follow: Follow) -> Option<Followed> {
+pub async fn follow(node: &Node, request: FollowRequest) -> Option<FollowReply> {
     let replica = node.replica.as_ref()?;
-    if follow.fresh {
+    if request.fresh {
         let current = catch_up(node).await.is_some();
-        let mut followed = node.document_sync.answer(replica, node.now(), follow);
-        followed.confirmed &= current;
-        return Some(followed);
+        let mut reply = node.document_sync.answer(replica, node.now(), request);
+        reply.confirmed &= current;
+        return Some(reply);
     }
     let listener = node.replica_changed.listen();
-    let followed = node.document_sync.answer(replica, node.now(), follow);
-    if followed.revision > follow.revision {
-        return Some(followed);
+    let reply = node.document_sync.answer(replica, node.now(), request);
+    if reply.revision > request.revision {
+        return Some(reply);
     }
     let _notified = compio::time::timeout(distribution::WAIT, listener).await;
-    Some(node.document_sync.answer(replica, node.now(), follow))
+    Some(node.document_sync.answer(replica, node.now(), request))
 }
 
 /// Returns the latest accepted revision; none if this store is not the leader or its log may be out
@@ -89,7 +89,7 @@
 }
 
 /// Returns the last versions of a section, oldest first; none if this instance is not a store.
-pub fn history(node: &Node, section: &str) -> Option<Vec<PastVersion>> {
+pub fn history(node: &Node, section: &str) -> Option<Vec<SectionVersion>> {
     let query = AuditQuery {
         count: u32::MAX,
         section: Some(section.into()),
@@ -97,14 +97,14 @@
     let lines = audit(node, &query)?;
     let accepting_line = |number: u64| {
         lines.iter().find(|line| match line.outcome {
-            Outcome::Accepted { version, .. } => version == number,
-            Outcome::Refused { .. } => false,
+            EditOutcome::Accepted { version, .. } => version == number,
+            EditOutcome::Refused { .. } => false,
         })
     };
     let replica = node.replica.as_ref()?.borrow();
     let versions = replica.ledger().history(section).map(|stored| {
         let line = accepting_line(stored.version.0);
-        PastVersion {
+        SectionVersion {
             author: line.map(|line| line.author.clone()),
             text: stored.text.clone(),
             time: line.map(|line| line.time),
--- a/crates/daemon/tests/distribution_deltas.rs
+++ b/crates/daemon/tests/distribution_deltas.rs
@@ -12,8 +12,8 @@
 use standin::Cluster;
 use tarpc::context;
 use wire::{
-    Follow,
-    Followed, //
+    FollowReply,
+    FollowRequest, //
 };
 
 fn text(name: &str, host: &str) -> String {
@@ -24,7 +24,7 @@
 }
 
 /// Asks a store as a follower does.
-fn follow(store: SocketAddr, brief: bool, revision: u64) -> Followed {
+fn follow(store: SocketAddr, brief: bool, revision: u64) -> FollowReply {
     let timers = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
@@ -32,18 +32,18 @@
     let _entered = timers.enter();
     compio::runtime::Runtime::new().unwrap().block_on(async {
         let client = wire::connect(store).await.unwrap();
-        let follow = Follow {
+        let request = FollowRequest {
             brief,
             fresh: false,
             revision,
         };
-        let call = client.follow(context::current(), follow);
+        let call = client.follow(context::current(), request);
         call.await.unwrap().unwrap()
     })
 }
 
-fn names(followed: &Followed) -> (Vec<&str>, Vec<&str>, bool) {
-    let delta = followed.delta.as_ref().unwrap();
+fn names(reply: &FollowReply) -> (Vec<&str>, Vec<&str>, bool) {
+    let delta = reply.delta.as_ref().unwrap();
     let changed = delta.changed.iter().map(|section| &*section.name).collect();
     let removed = delta.removed.iter().map(|name| &**name).collect();
     (changed, removed, delta.complete)
@@ -69,12 +69,12 @@
     );
     Cluster::edit(store, "b2", "b", 1, &text("b", "other")).unwrap();
     Cluster::edit(store, "c2", "c", 1, "").unwrap();
-    let followed = follow(inner, false, 3);
-    assert_eq!((followed.confirmed, followed.revision), (true, 5));
-    assert_eq!(names(&followed), (vec!["b"], vec!["c"], false));
+    let reply = follow(inner, false, 3);
+    assert_eq!((reply.confirmed, reply.revision), (true, 5));
+    assert_eq!(names(&reply), (vec!["b"], vec!["c"], false));
     assert_eq!(names(&follow(inner, false, 4)), (vec![], vec!["c"], false));
-    let followed = follow(inner, true, 3);
-    assert_eq!((followed.revision, followed.delta), (5, None));
+    let reply = follow(inner, true, 3);
+    assert_eq!((reply.revision, reply.delta), (5, None));
     cluster.await_revision(5).unwrap();
     let page = Cluster::await_page(cluster.entries[0].address("admin"), "/v1/document", |_| {
         true
--- a/crates/directory/benches/capacity.rs
+++ b/crates/directory/benches/capacity.rs
@@ -79,7 +79,7 @@
             sequence: endpoint.sequence,
             service: endpoint.service,
             slots: endpoint.slots,
-            state: wire::State::Ready,
+            state: wire::EndpointState::Ready,
         },
         bound: 3_600_000,
         warm: 3_600_000,
--- a/crates/edge/src/admin.rs
+++ b/crates/edge/src/admin.rs
@@ -29,10 +29,10 @@
 };
 use serde::Serialize;
 use wire::{
-    AUDIT_LINES,
     Announcement,
     AuditLine,
     AuditQuery,
+    DEFAULT_AUDIT_LINES,
     MemberStatus,
     Overview,
     Standing,
@@ -119,7 +119,7 @@
 }
 
 fn audit(process: &impl Inspect, uri: &Uri) -> Response<Full<Bytes>> {
-    let count = query_value(uri, "count").map_or(Ok(AUDIT_LINES), str::parse);
+    let count = query_value(uri, "count").map_or(Ok(DEFAULT_AUDIT_LINES), str::parse);
     let section = query_value(uri, "section").map(Into::into);
     match count.map(|count| process.audit(&AuditQuery { count, section })) {
         Ok(Some(lines)) => json(&lines),
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -23,7 +23,7 @@
     },
     registry::Registry,
 };
-use wire::Refusals;
+use wire::RefusalCount;
 
 /// Upper bounds of the histograms' buckets, in seconds: from a sync of a fast disk to the longest
 /// wait of a client.
@@ -127,11 +127,11 @@
     }
 
     /// Number of refusals by result code.
-    pub fn refusals_by_code(&self) -> Vec<Refusals> {
+    pub fn refusals_by_code(&self) -> Vec<RefusalCount> {
         let refusals_by_code = self.refusals_by_code.borrow();
         let refusals_by_code = refusals_by_code.iter();
         refusals_by_code
-            .map(|(code, count)| Refusals {
+            .map(|(code, count)| RefusalCount {
                 code: *code,
                 count: *count,
             })
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -17,10 +17,10 @@
     Announcement,
     AuditLine,
     AuditQuery,
+    EndpointState,
     Instance,
     LogMembers,
     ServiceStatus,
-    State,
     Status, //
 };
 
@@ -176,8 +176,8 @@
         service: announced.service.clone(),
         slots: announced.slots,
         state: match announced.state {
-            announcements::State::Draining => State::Draining,
-            announcements::State::Ready => State::Ready,
+            announcements::State::Draining => EndpointState::Draining,
+            announcements::State::Ready => EndpointState::Ready,
         },
     }
 }
--- a/crates/membership/benches/capacity.rs
+++ b/crates/membership/benches/capacity.rs
@@ -65,7 +65,7 @@
 /// Encoded size of an instance in a message, in bytes.
 fn instance_bytes() -> usize {
     let instance = instance(1);
-    let body = wire::Body::Tell;
+    let body = wire::MembershipBody::Tell;
     let from = wire::Instance {
         addresses: wire::Addresses {
             admin: instance.admin,
@@ -82,12 +82,12 @@
     let rumours = vec![(from.clone(), wire::Standing::Alive)];
     let length = |rumours| {
         let from = from.clone();
-        let member = wire::Member {
+        let message = wire::MembershipMessage {
             body,
             from,
             rumours,
         };
-        wire::Datagram::Member(member).encode().unwrap().len()
+        wire::Datagram::Member(message).encode().unwrap().len()
     };
     length(rumours) - length(Vec::new())
 }
--- a/crates/replica/src/audit.rs
+++ b/crates/replica/src/audit.rs
@@ -23,9 +23,9 @@
 }
 
 /// Converts an outcome to its wire format.
-pub fn outcome(from: Outcome) -> wire::Outcome {
+pub fn outcome(from: Outcome) -> wire::EditOutcome {
     match from {
-        Outcome::Accepted { revision, version } => wire::Outcome::Accepted {
+        Outcome::Accepted { revision, version } => wire::EditOutcome::Accepted {
             revision: revision.0,
             version: version.0,
         },
@@ -33,7 +33,7 @@
             advice,
             code,
             version,
-        } => wire::Outcome::Refused {
+        } => wire::EditOutcome::Refused {
             advice,
             code,
             version: version.0,
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -32,7 +32,7 @@
             let section = Section::from_raw(source, section.into_inner())?;
             document.sections.insert(name, section);
             document
-                .unique()
+                .validate()
                 .map_err(|message| source.repeated(span, message))?;
         }
         Ok(document)
@@ -51,7 +51,7 @@
     /// # Errors
     ///
     /// A message that names the invalid or duplicate value.
-    pub fn unique(&self) -> Result<(), Box<str>> {
+    pub fn validate(&self) -> Result<(), Box<str>> {
         if let Some(name) = self.sections.keys().find(|name| !is_bare_key(name)) {
             return Err(format!(
                 "the section's name `{name}` holds more than letters, digits, `-` and `_`"
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -13,14 +13,14 @@
 
 /// The owner of a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Holder {
+pub enum KeyOwner {
     /// An operator who may edit every section.
     Admin(Box<str>),
     /// A team, which may edit its own sections.
     Team(Box<str>),
 }
 
-impl Holder {
+impl KeyOwner {
     /// The owner's name, as shown in the audit trail.
     pub fn name(&self) -> &str {
         match self {
@@ -35,7 +35,7 @@
     /// SHA-256 digest of the key's text.
     pub digest: [u8; DIGEST_BYTES],
     /// The owner of the key.
-    pub holder: Holder,
+    pub owner: KeyOwner,
 }
 
 /// The access keys that an instance accepts.
@@ -77,9 +77,9 @@
 
 fn key_from_raw(source: &Source, raw: &raw::Key) -> Result<Key, Error> {
     let span = raw.sha256.span();
-    let holder = match (&raw.admin, &raw.team) {
-        (Some(name), None) if !name.is_empty() => Holder::Admin(name.clone()),
-        (None, Some(name)) if !name.is_empty() => Holder::Team(name.clone()),
+    let owner = match (&raw.admin, &raw.team) {
+        (Some(name), None) if !name.is_empty() => KeyOwner::Admin(name.clone()),
+        (None, Some(name)) if !name.is_empty() => KeyOwner::Team(name.clone()),
         (Some(_), None) => return Err(source.invalid(span, "`admin` is empty")),
         (None, Some(_)) => return Err(source.invalid(span, "`team` is empty")),
         (Some(_), Some(_)) | (None, None) => {
@@ -87,7 +87,7 @@
         }
     };
     match parse_digest(raw.sha256.get_ref()) {
-        Some(digest) => Ok(Key { digest, holder }),
+        Some(digest) => Ok(Key { digest, owner }),
         None => Err(source.invalid(span, "`sha256` is not 64 hexadecimal digits")),
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -38,8 +38,8 @@
     instance::Instance,
     keys::{
         DIGEST_BYTES,
-        Holder,
         Key,
+        KeyOwner,
         Keys, //
     },
     limits::{
@@ -54,7 +54,7 @@
     pattern::Pattern,
     requests::{
         DEFAULT_DEADLINE_MS,
-        KEEP_MS,
+        DEFAULT_KEEP_MS,
         Requests, //
     },
     retry::{
--- a/crates/settings/src/requests.rs
+++ b/crates/settings/src/requests.rs
@@ -10,7 +10,7 @@
 pub const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
 /// Default of [`Requests::keep_ms`], in milliseconds.
-pub const KEEP_MS: u64 = 600_000;
+pub const DEFAULT_KEEP_MS: u64 = 600_000;
 
 /// Deadline and answer retention of a service's requests (table `requests`).
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -25,7 +25,7 @@
     fn default() -> Self {
         Self {
             deadline_ms: DEFAULT_DEADLINE_MS,
-            keep_ms: KEEP_MS,
+            keep_ms: DEFAULT_KEEP_MS,
         }
     }
 }
@@ -42,7 +42,7 @@
                 deadline,
                 DEFAULT_DEADLINE_MS,
             )?,
-            keep_ms: source.in_range(&raw.keep_ms, "keep_ms", keep, KEEP_MS)?,
+            keep_ms: source.in_range(&raw.keep_ms, "keep_ms", keep, DEFAULT_KEEP_MS)?,
         };
         match raw.keep_ms.as_ref().or(raw.deadline_ms.as_ref()) {
             Some(value) if requests.keep_ms < requests.deadline_ms => Err(source.contradiction(
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use mimosausher_settings::{
-    Holder,
+    KeyOwner,
     Keys,
     Settings,
     Source, //
@@ -99,8 +99,8 @@
          [[key]]\nadmin = \"ana\"\nsha256 = \"{other}\"\n"
     );
     let keys = keys(&text).unwrap();
-    assert_eq!(keys.keys[0].holder, Holder::Team("booking".into()));
-    assert_eq!(keys.keys[1].holder, Holder::Admin("ana".into()));
+    assert_eq!(keys.keys[0].owner, KeyOwner::Team("booking".into()));
+    assert_eq!(keys.keys[1].owner, KeyOwner::Admin("ana".into()));
     assert_eq!(keys.keys[0].digest[..2], [0, 255]);
 }
 
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -204,7 +204,7 @@
             document.sections.insert(edit.section.clone(), section);
         }
         document
-            .unique()
+            .validate()
             .map_err(|advice| (Code::EditInvalid, advice))?;
         Ok(document)
     }
--- a/crates/wire/benches/capacity.rs
+++ b/crates/wire/benches/capacity.rs
@@ -4,7 +4,7 @@
 
 use mimosausher_wire::{
     Delta,
-    Followed,
+    FollowReply,
     SectionText, //
 };
 use standin::Fit;
@@ -32,7 +32,7 @@
             1000 + service
         );
     }
-    let followed = Followed {
+    let reply = FollowReply {
         confirmed: true,
         delta: Some(Delta {
             changed: vec![SectionText {
@@ -46,6 +46,6 @@
         }),
         revision: 100_000,
     };
-    let length = postcard::to_stdvec(&followed).unwrap().len() + OVERHEAD_BYTES;
+    let length = postcard::to_stdvec(&reply).unwrap().len() + OVERHEAD_BYTES;
     f64::from(u32::try_from(length).unwrap())
 }
--- a/crates/wire/src/audit.rs
+++ b/crates/wire/src/audit.rs
@@ -5,7 +5,7 @@
     Serialize, //
 };
 
-use crate::edit::Outcome;
+use crate::edit::EditOutcome;
 
 /// Selects lines of the audit trail.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -18,7 +18,7 @@
 }
 
 /// Default of [`AuditQuery::count`] in operators' requests.
-pub const AUDIT_LINES: u32 = 100;
+pub const DEFAULT_AUDIT_LINES: u32 = 100;
 
 /// A line of the audit trail.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -31,7 +31,7 @@
     /// Id of the edit.
     pub id: Box<str>,
     /// Outcome of the edit.
-    pub outcome: Outcome,
+    pub outcome: EditOutcome,
     /// Name of the section.
     pub section: Box<str>,
     /// Time at which the edit was received, in milliseconds since the Unix epoch.
@@ -41,7 +41,7 @@
 /// A version of a section.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct PastVersion {
+pub struct SectionVersion {
     /// Name of the author; `None` if the audit trail no longer contains the edit.
     pub author: Option<Box<str>>,
     /// Text of the section; empty if the section was removed.
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -4,7 +4,7 @@
     audit::{
         AuditLine,
         AuditQuery,
-        PastVersion, //
+        SectionVersion, //
     },
     claim::{
         Claim,
@@ -14,17 +14,17 @@
     },
     edit::{
         Edit,
-        Outcome, //
+        EditOutcome, //
     },
     follow::{
-        Follow,
-        Followed, //
+        FollowReply,
+        FollowRequest, //
     },
     replication::{
-        Decision,
-        Identity,
         LogMessage,
-        Proposal, //
+        Proposal,
+        ProposalReply,
+        StoreIdentity, //
     },
     status::Status,
 };
@@ -46,18 +46,18 @@
     async fn claims() -> Option<Vec<ClaimRecord>>;
 
     /// Accepts or refuses an edit; stores only.
-    async fn edit(edit: Edit) -> Outcome;
+    async fn edit(edit: Edit) -> EditOutcome;
 
     /// Waits for a limited time for a document newer than the follower's; `None` if this instance
     /// is not a store.
-    async fn follow(follow: Follow) -> Option<Followed>;
+    async fn follow(follow: FollowRequest) -> Option<FollowReply>;
 
     /// Returns the last versions of a section, oldest first; `None` if this instance is not a store
     /// or has no confirmation from a quorum.
-    async fn history(section: Box<str>) -> Option<Vec<PastVersion>>;
+    async fn history(section: Box<str>) -> Option<Vec<SectionVersion>>;
 
     /// Returns the identity of the store's data folder; `None` if this instance is not a store.
-    async fn identify() -> Option<Identity>;
+    async fn identify() -> Option<StoreIdentity>;
 
     /// Returns the latest accepted revision; `None` unless this store is the leader and can confirm
     /// it.
@@ -67,7 +67,7 @@
     async fn log(message: LogMessage);
 
     /// Decides a proposal if this store is the leader, and refuses it otherwise.
-    async fn propose(proposal: Proposal) -> Decision;
+    async fn propose(proposal: Proposal) -> ProposalReply;
 
     /// Records how the request of a claim ended; entries only.
     async fn settle(claim: Claim, end: ClaimEnd) -> bool;
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -23,7 +23,7 @@
     /// Announcements of endpoints.
     Batch(Batch),
     /// A membership message.
-    Member(Member),
+    Member(MembershipMessage),
 }
 
 /// A batch of endpoint announcements that instances relay to each other.
@@ -69,9 +69,9 @@
 /// A membership message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Member {
+pub struct MembershipMessage {
     /// Type of the message.
-    pub body: Body,
+    pub body: MembershipBody,
     /// The sender.
     pub from: Instance,
     /// Gossip: standings of other members as known to the sender.
@@ -81,7 +81,7 @@
 /// Type of a membership message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub enum Body {
+pub enum MembershipBody {
     /// Acknowledges the probe with this number.
     Ack(u64),
     /// Requests the receiver's full member list.
--- a/crates/wire/src/document.rs
+++ b/crates/wire/src/document.rs
@@ -20,7 +20,7 @@
 /// A snapshot of the whole document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Update {
+pub struct DocumentSnapshot {
     /// Revision of the document.
     pub revision: u64,
     /// All sections.
--- a/crates/wire/src/edit.rs
+++ b/crates/wire/src/edit.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Outcome {
+pub enum EditOutcome {
     /// The edit is synced to disk and will be in force on every instance.
     Accepted {
         /// Revision of the document.
--- a/crates/wire/src/endpoint.rs
+++ b/crates/wire/src/endpoint.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum EndpointState {
     /// Finishes open work and accepts no new work.
     Draining,
     /// Accepts new work.
@@ -44,5 +44,5 @@
     /// Number of requests that it can process concurrently.
     pub slots: u16,
     /// Current state.
-    pub state: State,
+    pub state: EndpointState,
 }
--- a/crates/wire/src/follow.rs
+++ b/crates/wire/src/follow.rs
@@ -10,7 +10,7 @@
 /// A follower's request for a later document.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Follow {
+pub struct FollowRequest {
     /// Whether to omit the delta and return only the revision.
     pub brief: bool,
     /// Whether the reply counts as confirmed only if it includes every edit accepted before the
@@ -23,7 +23,7 @@
 /// A store's reply to a follower.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Followed {
+pub struct FollowReply {
     /// Whether the store was recently in contact with a quorum and, for a fresh request, has every
     /// edit accepted before the request.
     pub confirmed: bool,
--- a/crates/wire/src/handover.rs
+++ b/crates/wire/src/handover.rs
@@ -21,7 +21,7 @@
 /// Second byte of a datagram with copied flows.
 const TYPE_COPIES: u8 = 2;
 
-/// Maximum length of an encoded [`Handover`] header, in bytes.
+/// Maximum length of an encoded [`HandoverHeader`], in bytes.
 pub const MAX_HANDOVER_BYTES: usize = 128;
 
 /// Maximum number of entries that a packet visits.
@@ -30,7 +30,7 @@
 /// Action of the entry that receives a handed-over packet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub enum Task {
+pub enum HandoverTask {
     /// Look up the endpoint of the flow.
     Ask,
     /// Record the endpoint with this identity for the flow and forward the packet.
@@ -40,7 +40,7 @@
 /// Header of a packet that one entry hands over to another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Handover {
+pub struct HandoverHeader {
     /// Number of times that the packet was handed over.
     pub hops: u8,
     /// Number of valid elements in `visited`.
@@ -52,12 +52,12 @@
     /// Address from which the origin received the packet; replies to the client are sent there.
     pub sender: SocketAddr,
     /// Action of the receiving entry.
-    pub task: Task,
+    pub task: HandoverTask,
     /// Identities of the entries that were already queried for the flow.
     pub visited: [u32; MAX_VISITED],
 }
 
-impl Handover {
+impl HandoverHeader {
     /// Replaces `datagram` with the encoded header, followed by the packet.
     ///
     /// # Errors
@@ -93,12 +93,12 @@
     /// Flows copied from another entry.
     Copies(Vec<CopiedFlows>),
     /// A packet handed over by another entry, with its encapsulation.
-    Handover(Handover, &'a [u8]),
+    Handover(HandoverHeader, &'a [u8]),
 }
 
 impl<'a> FlowDatagram<'a> {
     /// Whether a datagram is about flows rather than a packet from the fabric.
-    pub fn recognises(datagram: &[u8]) -> bool {
+    pub fn is_flow_datagram(datagram: &[u8]) -> bool {
         datagram.first() == Some(&MAGIC)
     }
 
@@ -114,7 +114,7 @@
         };
         match datagram {
             [MAGIC, TYPE_HANDOVER, rest @ ..] => postcard::take_from_bytes(rest)
-                .map(|(handover, packet)| Self::Handover(handover, packet))
+                .map(|(header, packet)| Self::Handover(header, packet))
                 .map_err(malformed),
             [MAGIC, TYPE_COPIES, rest @ ..] => postcard::from_bytes(rest)
                 .map(Self::Copies)
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -23,10 +23,10 @@
 
 pub use crate::{
     audit::{
-        AUDIT_LINES,
         AuditLine,
         AuditQuery,
-        PastVersion, //
+        DEFAULT_AUDIT_LINES,
+        SectionVersion, //
     },
     call::{
         Inner,
@@ -46,53 +46,53 @@
     connection::connect,
     datagram::{
         Batch,
-        Body,
         Datagram,
         MAX_DATAGRAM_BYTES,
-        Member,
+        MembershipBody,
+        MembershipMessage,
         Report,
         Route,
         Standing, //
     },
     document::{
-        SectionText,
-        Update, //
+        DocumentSnapshot,
+        SectionText, //
     },
     edit::{
         Edit,
-        Outcome, //
+        EditOutcome, //
     },
     endpoint::{
         Announcement,
-        State, //
+        EndpointState, //
     },
     error::Error,
     follow::{
         Delta,
-        Follow,
-        Followed, //
+        FollowReply,
+        FollowRequest, //
     },
     handover::{
         CopiedFlows,
         FlowDatagram,
-        Handover,
-        MAX_HANDOVER_BYTES,
-        Task, //
+        HandoverHeader,
+        HandoverTask,
+        MAX_HANDOVER_BYTES, //
     },
     instance::{
         Addresses,
         Instance, //
     },
     replication::{
-        Decision,
-        Identity,
         Init,
         LogMember,
         LogMembers,
         LogMessage,
         MemberChange,
         Proposal,
-        StoreAddress, //
+        ProposalReply,
+        StoreAddress,
+        StoreIdentity, //
     },
     server::{
         IDLE_TIMEOUT,
@@ -101,7 +101,7 @@
     status::{
         MemberStatus,
         Overview,
-        Refusals,
+        RefusalCount,
         ServiceStatus,
         Status, //
     },
--- a/crates/wire/src/replication.rs
+++ b/crates/wire/src/replication.rs
@@ -10,7 +10,7 @@
 
 use crate::edit::{
     Edit,
-    Outcome, //
+    EditOutcome, //
 };
 
 /// A message of the replicated log.
@@ -26,7 +26,7 @@
 /// Identity of a store's data folder.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Identity {
+pub struct StoreIdentity {
     /// Id of the replicated log that the store belongs to; `None` before its first start.
     pub cluster: Option<u64>,
     /// Id of the data folder.
@@ -50,11 +50,11 @@
 /// Reply to a proposal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub enum Decision {
+pub enum ProposalReply {
     /// The members were changed.
     Changed,
     /// Outcome of the edit.
-    Outcome(Outcome),
+    Outcome(EditOutcome),
     /// Code and description of the refusal; the code tells whether the proposal may still take
     /// effect.
     Refused(Code, Box<str>),
--- a/crates/wire/src/status.rs
+++ b/crates/wire/src/status.rs
@@ -14,7 +14,7 @@
 /// Number of refusals with a result code.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Refusals {
+pub struct RefusalCount {
     /// Result code.
     pub code: u16,
     /// Number of refusals since the process started.
@@ -56,7 +56,7 @@
     /// Whether the instance is ready to serve.
     pub ready: bool,
     /// Refusals by result code.
-    pub refusals: Vec<Refusals>,
+    pub refusals: Vec<RefusalCount>,
     /// Revision of the document in force.
     pub revision: u64,
     /// Number of running requests.
--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -6,14 +6,14 @@
     Addresses,
     Announcement,
     Batch,
-    Body,
     Datagram,
+    EndpointState,
     Instance,
-    Member,
+    MembershipBody,
+    MembershipMessage,
     Report,
     Route,
-    Standing,
-    State, //
+    Standing, //
 };
 
 fn instance() -> Instance {
@@ -37,13 +37,13 @@
 fn encode_member_round_trip() {
     let address = "127.0.0.1:7203".parse().unwrap();
     for body in [
-        Body::Ack(1),
-        Body::Join,
-        Body::Ping(u64::MAX),
-        Body::Request(2, address),
-        Body::Tell,
+        MembershipBody::Ack(1),
+        MembershipBody::Join,
+        MembershipBody::Ping(u64::MAX),
+        MembershipBody::Request(2, address),
+        MembershipBody::Tell,
     ] {
-        let datagram = Datagram::Member(Member {
+        let datagram = Datagram::Member(MembershipMessage {
             body,
             from: instance(),
             rumours: vec![
@@ -70,7 +70,7 @@
         sequence: 9,
         service: "booking-desk".into(),
         slots: 3,
-        state: State::Draining,
+        state: EndpointState::Draining,
     };
     let address = "127.0.0.1:7203".parse().unwrap();
     for route in [Route::Direct, Route::Forward(address), Route::Spread] {
