--- a/crates/announcements/src/lib.rs
+++ b/crates/announcements/src/lib.rs
@@ -18,7 +18,7 @@
     rank::Rank,
     record::Record,
     registry::{
-        Known,
+        KnownEndpoint,
         Registry,
         TOMBSTONE_RETENTION, //
     },
--- a/crates/announcements/src/registry.rs
+++ b/crates/announcements/src/registry.rs
@@ -23,7 +23,7 @@
 
 /// State of one endpoint as known to a store.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct KnownEndpoint {
     /// Last announcement of the endpoint.
     pub announcement: Announcement,
     /// Whether this incarnation of the endpoint has left.
@@ -38,7 +38,7 @@
     store_change: u64,
 }
 
-impl Known {
+impl KnownEndpoint {
     fn rank(&self) -> Rank {
         Rank {
             incarnation: self.announcement.incarnation,
@@ -53,9 +53,9 @@
 pub struct Registry {
     /// Endpoint that owns each address: the one with the latest incarnation.
     addresses: HashMap<SocketAddrV4, Box<str>>,
+    endpoints: BTreeMap<Box<str>, KnownEndpoint>,
     /// Number of the latest change; each change and each direct announcement increments it.
-    count: u64,
-    endpoints: BTreeMap<Box<str>, Known>,
+    last_change: u64,
     /// Time without an announcement after which an endpoint counts as silent.
     timeout: Duration,
 }
@@ -66,8 +66,8 @@
     pub fn new(timeout: Duration) -> Self {
         Self {
             addresses: HashMap::new(),
-            count: 0,
             endpoints: BTreeMap::new(),
+            last_change: 0,
             timeout,
         }
     }
@@ -113,16 +113,16 @@
     /// To be called a few times a second.
     pub fn tick(&mut self, now: Duration) {
         let now = now + CLOCK_OFFSET;
-        let (timeout, mut count) = (self.timeout, self.count);
+        let (timeout, mut last_change) = (self.timeout, self.last_change);
         for known in self.endpoints.values_mut() {
             let silent = now.saturating_sub(known.last_announced) > timeout;
             if silent != known.silent {
-                count += 1;
+                last_change += 1;
                 known.silent = silent;
-                known.entry_change = count;
+                known.entry_change = last_change;
             }
         }
-        self.count = count;
+        self.last_change = last_change;
         self.endpoints.retain(|_, known| {
             let expired = now.saturating_sub(known.last_announced) > TOMBSTONE_RETENTION;
             !(expired && (known.departed || known.silent))
@@ -133,31 +133,31 @@
     }
 
     /// Number of the latest change.
-    pub const fn count(&self) -> u64 {
-        self.count
+    pub const fn last_change(&self) -> u64 {
+        self.last_change
     }
 
     /// State of an endpoint.
-    pub fn get(&self, name: &str) -> Option<&Known> {
+    pub fn get(&self, name: &str) -> Option<&KnownEndpoint> {
         self.endpoints.get(name)
     }
 
     /// All endpoints, by name.
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
+    pub fn iter(&self) -> impl Iterator<Item = &KnownEndpoint> {
         self.endpoints.values()
     }
 
     /// Records that another store lacks if it has all changes up to `since`.
-    pub fn touched(&self, now: Duration, since: u64) -> Vec<Record> {
+    pub fn updated_since(&self, now: Duration, since: u64) -> Vec<Record> {
         self.records(now, |known| known.store_change > since)
     }
 
     /// Records that an entry lacks if it has all changes up to `since`.
-    pub fn changed(&self, now: Duration, since: u64) -> Vec<Record> {
+    pub fn changed_since(&self, now: Duration, since: u64) -> Vec<Record> {
         self.records(now, |known| known.entry_change > since)
     }
 
-    fn records(&self, now: Duration, wanted: impl Fn(&Known) -> bool) -> Vec<Record> {
+    fn records(&self, now: Duration, wanted: impl Fn(&KnownEndpoint) -> bool) -> Vec<Record> {
         let now = now + CLOCK_OFFSET;
         let known = self.endpoints.values().filter(|known| wanted(known));
         known
@@ -184,27 +184,27 @@
             Some(known) => (is_renewal(known, &record), known.last_announced),
             None => (false, Duration::ZERO),
         };
-        self.count += 1;
-        let count = self.count;
+        self.last_change += 1;
+        let last_change = self.last_change;
         let address = record.announcement.address;
         let departed = record.departed;
-        let known = self.endpoints.entry(name.clone()).or_insert(Known {
+        let known = self.endpoints.entry(name.clone()).or_insert(KnownEndpoint {
             announcement: record.announcement.clone(),
-            entry_change: count,
+            entry_change: last_change,
             departed,
             last_announced,
             silent: false,
-            store_change: count,
+            store_change: last_change,
         });
         known.announcement = record.announcement;
         known.departed = departed;
         known.last_announced = previous.max(last_announced);
         let silent = now.saturating_sub(known.last_announced) > self.timeout;
         if !same || known.silent != silent {
-            known.entry_change = count;
+            known.entry_change = last_change;
         }
         if !same || direct {
-            known.store_change = count;
+            known.store_change = last_change;
         }
         known.silent = silent;
         if !departed {
@@ -236,16 +236,16 @@
             return;
         };
         if known.announcement.address == address && !known.departed {
-            self.count += 1;
+            self.last_change += 1;
             known.departed = true;
-            known.entry_change = self.count;
-            known.store_change = self.count;
+            known.entry_change = self.last_change;
+            known.store_change = self.last_change;
         }
     }
 }
 
 /// Whether a record only shows that the endpoint still runs.
-fn is_renewal(known: &Known, record: &Record) -> bool {
+fn is_renewal(known: &KnownEndpoint, record: &Record) -> bool {
     let (old, new) = (&known.announcement, &record.announcement);
     let same = Announcement {
         sequence: old.sequence,
--- a/crates/announcements/tests/registry.rs
+++ b/crates/announcements/tests/registry.rs
@@ -116,11 +116,11 @@
 fn tick_silent_endpoint() {
     let mut registry = Registry::new(TIMEOUT);
     registry.announce(at(1), announcement("a", 5, 1));
-    let seen = registry.count();
+    let seen = registry.last_change();
     registry.tick(at(5));
     assert!(registry.get("a").unwrap().silent);
-    assert_eq!(registry.changed(at(5), seen).len(), 1);
-    assert!(registry.touched(at(5), seen).is_empty());
+    assert_eq!(registry.changed_since(at(5), seen).len(), 1);
+    assert!(registry.updated_since(at(5), seen).is_empty());
     registry.merge(at(6), record(announcement("a", 5, 2), false));
     assert!(!registry.get("a").unwrap().silent);
 }
@@ -135,14 +135,14 @@
 }
 
 #[test]
-fn touched_merged_renewal() {
+fn updated_since_merged_renewal() {
     let mut registry = Registry::new(TIMEOUT);
     registry.merge(at(1), record(announcement("a", 5, 1), false));
-    let seen = registry.count();
+    let seen = registry.last_change();
     registry.merge(at(2), record(announcement("a", 5, 2), false));
-    assert!(registry.touched(at(2), seen).is_empty());
+    assert!(registry.updated_since(at(2), seen).is_empty());
     registry.merge(at(3), record(draining("a", 5, 3), false));
-    assert_eq!(registry.touched(at(3), seen).len(), 1);
+    assert_eq!(registry.updated_since(at(3), seen).len(), 1);
 }
 
 #[test]
@@ -185,10 +185,10 @@
         // The stores exchange their records, as they do after a network partition.
         for _ in 0..3 {
             let [one, two] = &mut stores;
-            for record in one.touched(at(1), 0) {
+            for record in one.updated_since(at(1), 0) {
                 two.merge(at(1), record);
             }
-            for record in two.touched(at(1), 0) {
+            for record in two.updated_since(at(1), 0) {
                 one.merge(at(1), record);
             }
         }
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -28,14 +28,14 @@
 
 /// A change with its sections parsed.
 #[derive(Clone, Debug)]
-pub struct Prepared {
+pub struct PreparedChange {
     pub(crate) complete: bool,
     pub(crate) removed: Vec<Box<str>>,
     pub(crate) revision: u64,
     pub(crate) sections: Vec<(Text, Section)>,
 }
 
-impl Prepared {
+impl PreparedChange {
     /// The later revision.
     pub const fn revision(&self) -> u64 {
         self.revision
--- a/crates/configuration/src/configuration.rs
+++ b/crates/configuration/src/configuration.rs
@@ -20,7 +20,7 @@
 
 use crate::change::{
     Change,
-    Prepared,
+    PreparedChange,
     Text, //
 };
 
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// The error of the first section that is not valid.
-    pub fn prepare(&self, change: Change) -> Result<Option<Prepared>, Error> {
+    pub fn prepare(&self, change: Change) -> Result<Option<PreparedChange>, Error> {
         if change.revision <= self.revision {
             return Ok(None);
         }
@@ -72,7 +72,7 @@
             let section = Section::parse(&Source::new(&text.name, &text.text))?;
             sections.push((text, section));
         }
-        Ok(Some(Prepared {
+        Ok(Some(PreparedChange {
             complete: change.complete,
             removed: change.removed,
             revision: change.revision,
@@ -82,7 +82,7 @@
 
     /// Applies a prepared change; returns false, and changes nothing, if its revision is not later
     /// than the one in force.
-    pub fn apply(&mut self, change: Prepared) -> bool {
+    pub fn apply(&mut self, change: PreparedChange) -> bool {
         if change.revision <= self.revision {
             return false;
         }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -9,7 +9,7 @@
 pub use crate::{
     change::{
         Change,
-        Prepared,
+        PreparedChange,
         Text, //
     },
     configuration::{
--- a/crates/daemon/src/document_sync.rs
+++ b/crates/daemon/src/document_sync.rs
@@ -36,7 +36,7 @@
         self.record(&replica);
         let published = self.published.borrow();
         Followed {
-            confirmed: replica.confirmed(now),
+            confirmed: replica.in_contact(now),
             delta: published.since(follow.revision).filter(|_| !follow.brief),
             revision: published.revision(),
         }
--- a/crates/daemon/src/follower.rs
+++ b/crates/daemon/src/follower.rs
@@ -8,7 +8,7 @@
     time::Duration, //
 };
 
-use configuration::Prepared;
+use configuration::PreparedChange;
 use distribution::{
     ASK_TIMEOUT,
     Answer,
@@ -136,7 +136,7 @@
         }
     }
 
-    fn handle(&mut self, event: Event<SocketAddr>, next: Option<Prepared>) {
+    fn handle(&mut self, event: Event<SocketAddr>, next: Option<PreparedChange>) {
         let now = self.node.now();
         let actions = self
             .node
@@ -225,7 +225,7 @@
     }
 }
 
-fn apply(node: &Node, next: Prepared) {
+fn apply(node: &Node, next: PreparedChange) {
     let revision = next.revision();
     if !node.view.configuration.borrow_mut().apply(next) {
         return;
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -20,7 +20,7 @@
 use replica::Replica;
 use settings::Settings;
 use store::{
-    Folder,
+    DataFolder,
     StoreId,
     Timing, //
 };
@@ -80,7 +80,10 @@
     /// # Errors
     ///
     /// Any error of the data folder, the operator key file or the TLS files.
-    pub fn new(settings: Settings, addresses: Addresses) -> Result<(Self, Option<Folder>), Error> {
+    pub fn new(
+        settings: Settings,
+        addresses: Addresses,
+    ) -> Result<(Self, Option<DataFolder>), Error> {
         let (replica, folder) = match &settings.data {
             Some(path) => {
                 let (replica, folder) =
--- a/crates/daemon/src/proposals.rs
+++ b/crates/daemon/src/proposals.rs
@@ -52,7 +52,7 @@
     let Some(replica) = &node.replica else {
         return no_leader("this instance is not a store");
     };
-    if replica.borrow().raft().leads() {
+    if replica.borrow().raft().is_leader() {
         return propose_locally(node, proposal).await;
     }
     if replica.borrow().raft().cluster().is_none() {
--- a/crates/daemon/src/replica_io.rs
+++ b/crates/daemon/src/replica_io.rs
@@ -11,11 +11,11 @@
 };
 
 use replica::{
-    Replica,
-    Surroundings, //
+    Environment,
+    Replica, //
 };
 use store::{
-    Folder,
+    DataFolder,
     Message,
     Revision, //
 };
@@ -35,7 +35,7 @@
 }
 
 /// Runs the replica until the process ends; returns at once on an instance without one.
-pub async fn run(node: Rc<Node>, folder: Folder) {
+pub async fn run(node: Rc<Node>, folder: DataFolder) {
     let Some(replica) = &node.replica else {
         return;
     };
@@ -48,8 +48,8 @@
     replica::run(&io, folder).await;
 }
 
-impl Surroundings for ReplicaIo<'_> {
-    fn handled(&self) {
+impl Environment for ReplicaIo<'_> {
+    fn on_handled(&self) {
         let revision = self.replica.borrow().ledger().revision();
         if revision > self.revision.get() {
             self.revision.set(revision);
--- a/crates/daemon/src/rpc_server.rs
+++ b/crates/daemon/src/rpc_server.rs
@@ -58,7 +58,7 @@
 impl Inner for RpcHandler {
     async fn audit(self, _: Context, query: AuditQuery) -> Option<Vec<AuditLine>> {
         let lines = store_reads::audit(&self.node, &query);
-        lines.filter(|_| store_reads::confirmed(&self.node))
+        lines.filter(|_| store_reads::in_contact(&self.node))
     }
 
     async fn beat(self, _: Context) {}
@@ -88,7 +88,7 @@
 
     async fn history(self, _: Context, section: Box<str>) -> Option<Vec<PastVersion>> {
         let versions = store_reads::history(&self.node, &section);
-        versions.filter(|_| store_reads::confirmed(&self.node))
+        versions.filter(|_| store_reads::in_contact(&self.node))
     }
 
     async fn identify(self, _: Context) -> Option<Identity> {
@@ -121,7 +121,7 @@
 
     async fn unused(self, _: Context) -> Option<bool> {
         let replica = self.node.replica.as_ref()?.borrow();
-        replica.unused(self.node.now())
+        replica.never_edited(self.node.now())
     }
 
     async fn status(self, _: Context) -> Status {
--- a/crates/daemon/src/store_reads.rs
+++ b/crates/daemon/src/store_reads.rs
@@ -45,7 +45,7 @@
     let raft = replica.raft();
     // Once an entry of its own term is committed, a leader's log has everything accepted before.
     let own = raft.log().term(raft.commit()) == Some(raft.term());
-    let current = raft.leads() && own && replica.confirmed(node.now());
+    let current = raft.is_leader() && own && replica.in_contact(node.now());
     current.then(|| replica.ledger().revision().0)
 }
 
@@ -85,7 +85,7 @@
 /// Returns the last lines of the audit trail, oldest first; none if this instance is not a store.
 pub fn audit(node: &Node, query: &AuditQuery) -> Option<Vec<AuditLine>> {
     let replica = node.replica.as_ref()?.borrow();
-    Some(replica::trail(&replica, query))
+    Some(replica::audit_records(&replica, query))
 }
 
 /// Returns the last versions of a section, oldest first; none if this instance is not a store.
@@ -115,7 +115,7 @@
 }
 
 /// Whether a quorum confirms this store, so that other instances may rely on its answers.
-pub fn confirmed(node: &Node) -> bool {
+pub fn in_contact(node: &Node) -> bool {
     let replica = node.replica.as_ref();
-    replica.is_some_and(|replica| replica.borrow().confirmed(node.now()))
+    replica.is_some_and(|replica| replica.borrow().in_contact(node.now()))
 }
--- a/crates/edge/src/control.rs
+++ b/crates/edge/src/control.rs
@@ -128,9 +128,9 @@
     }
     let now = state.clock.now();
     let (name, announced_state) = (announcement.name.clone(), announcement.state);
-    let before = state.registry.borrow().count();
+    let before = state.registry.borrow().last_change();
     state.registry.borrow_mut().announce(now, announcement);
-    let changed = state.registry.borrow().changed(now, before);
+    let changed = state.registry.borrow().changed_since(now, before);
     if let Some(record) = changed
         .iter()
         .find(|record| record.announcement.name == name)
@@ -175,7 +175,7 @@
 /// Waits until enough other stores have acknowledged all changes: they then survive the tolerated loss
 /// of stores, including this one, and the loss of this data centre.
 async fn wait_for_copies(state: &StoreState) -> Result<Reply, Refusal> {
-    let change = state.registry.borrow().count();
+    let change = state.registry.borrow().last_change();
     let deadline = state.clock.now() + CALL_TIMEOUT;
     loop {
         let listener = state.copies_acked.listen();
@@ -200,7 +200,11 @@
     let client = parts.extensions.get::<Peer>();
     let author = client.map_or(String::new(), |peer| peer.0.ip().to_string());
     let publication = Publication::new(version, &body).with_author(&author, epoch_millis());
-    let known = state.replica.borrow().ledger().compare(&publication);
+    let known = state
+        .replica
+        .borrow()
+        .ledger()
+        .check_publication(&publication);
     let published = match known {
         Some(known) => known,
         None => match submit_to_group(state, |token| Event::Publish(publication, token)).await? {
@@ -244,7 +248,7 @@
     state: &StoreState,
     event: impl FnOnce(Token) -> Event,
 ) -> Result<Submission, Refusal> {
-    if !state.replica.borrow().raft().leads() {
+    if !state.replica.borrow().raft().is_leader() {
         let advice = "no leader is known";
         let leader = state.leader().ok_or((Code::NoLeader, advice.into()))?;
         return Ok(Submission::Redirect(Reply::Elsewhere(leader)));
--- a/crates/edge/src/endpoint_file.rs
+++ b/crates/edge/src/endpoint_file.rs
@@ -46,13 +46,13 @@
     loop {
         compio::time::sleep(CHECK_INTERVAL).await;
         let now = state.clock.now();
-        let count = state.registry.borrow().count();
-        if state.registry.borrow().changed(now, saved).is_empty() {
+        let last_change = state.registry.borrow().last_change();
+        if state.registry.borrow().changed_since(now, saved).is_empty() {
             continue;
         }
-        let records = state.registry.borrow().changed(now, 0);
+        let records = state.registry.borrow().changed_since(now, 0);
         if file.replace(records).await {
-            saved = count;
+            saved = last_change;
         }
     }
 }
--- a/crates/edge/src/internal_server.rs
+++ b/crates/edge/src/internal_server.rs
@@ -126,11 +126,11 @@
         let known: Vec<_> = state.peers.borrow().addresses().collect();
         let document = state.document.borrow().clone();
         let document = document.filter(|document| document.version > version);
-        let records = state.registry.borrow().changed(now, sent);
-        let current = state.replica.borrow().raft().current(now);
+        let records = state.registry.borrow().changed_since(now, sent);
+        let current = state.replica.borrow().raft().is_current(now);
         let regained = current && !confirmed;
         if document.is_some() || !records.is_empty() || regained || now >= next_keepalive {
-            sent = state.registry.borrow().count();
+            sent = state.registry.borrow().last_change();
             version = document
                 .as_ref()
                 .map_or(version, |document| document.version);
@@ -240,11 +240,15 @@
     if let Some(peer) = state.peers.borrow_mut().get_mut(address) {
         peer.seen = now;
     }
-    let before = state.registry.borrow().count();
+    let before = state.registry.borrow().last_change();
     for record in gossip.records {
         state.registry.borrow_mut().merge(now, record);
     }
-    let changed = !state.registry.borrow().changed(now, before).is_empty();
+    let changed = !state
+        .registry
+        .borrow()
+        .changed_since(now, before)
+        .is_empty();
     let mut replica = state.replica.borrow_mut();
     for bytes in gossip.log {
         match Message::decode(&bytes) {
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -178,9 +178,9 @@
         join: (due && state.needs_join()).then(|| state.member.clone()),
         loads,
         log: queue.unwrap_or_default().into(),
-        records: registry.touched(state.clock.now(), sent),
+        records: registry.updated_since(state.clock.now(), sent),
         stores,
-        upto: registry.count(),
+        upto: registry.last_change(),
     }
 }
 
--- a/crates/edge/src/run_store.rs
+++ b/crates/edge/src/run_store.rs
@@ -27,14 +27,14 @@
     Signals, //
 };
 use replica::{
-    Replica,
-    Surroundings, //
+    Environment,
+    Replica, //
 };
 use siphasher::sip::SipHasher13;
 use store::{
     ClusterId,
+    DataFolder,
     Event,
-    Folder,
     Member,
     Members,
     Message,
@@ -119,8 +119,10 @@
     let (metrics, now) = (&state.metrics, state.clock.now());
     let replica = state.replica.borrow();
     let version = replica.ledger().published().map_or(0, |held| held.version);
-    metrics.leads.set(i64::from(replica.raft().leads()));
-    metrics.quorum.set(i64::from(replica.raft().current(now)));
+    metrics.leads.set(i64::from(replica.raft().is_leader()));
+    metrics
+        .quorum
+        .set(i64::from(replica.raft().is_current(now)));
     metrics
         .version
         .set(i64::try_from(version).unwrap_or(i64::MAX));
@@ -139,7 +141,7 @@
     metrics.set_endpoints("known", registry.iter().count());
 }
 
-fn open(settings: Settings) -> Result<(StoreState, Folder), Error> {
+fn open(settings: Settings) -> Result<(StoreState, DataFolder), Error> {
     let data = settings.data.clone().ok_or(Error::Missing("data"))?;
     let own = settings.advertised_address();
     let seeds = settings.seed_addresses();
@@ -149,14 +151,17 @@
         false => StoreId(rand::random()),
     };
     let timing = Timing::new()
-        .with_snapshot(SNAPSHOT_ENTRIES)
+        .with_snapshot_entries(SNAPSHOT_ENTRIES)
         .with_voters(2 * settings.losses.max(1) + 1);
     let (mut replica, folder) = Replica::open(&data, new_id, timing)?;
     if founder {
         let members = seeds.iter().map(|seed| member(*seed, founder_id(*seed)));
         let mut members: Vec<_> = members.collect();
         members.sort_by_key(|member| member.address);
-        replica.push(Event::Found(cluster_id(&seeds), Members(members.into())));
+        replica.push(Event::FormCluster(
+            cluster_id(&seeds),
+            Members(members.into()),
+        ));
     }
     replica.push(Event::Locate(
         member(own, folder.id()).name,
@@ -230,9 +235,9 @@
             seeds.contains(&address) || members.contains(&address.into())
         });
         update_gauges(&state);
-        let before = state.registry.borrow().count();
+        let before = state.registry.borrow().last_change();
         state.registry.borrow_mut().tick(now);
-        let changed = state.registry.borrow().changed(now, before);
+        let changed = state.registry.borrow().changed_since(now, before);
         for record in &changed {
             log::info!(
                 endpoint = &*record.announcement.name, silent = record.silent, age = record.age;
@@ -255,14 +260,14 @@
     version: Cell<u64>,
 }
 
-async fn drive<B: Border>(state: Rc<StoreState>, folder: Folder) {
+async fn drive<B: Border>(state: Rc<StoreState>, folder: DataFolder) {
     let driver = Driver::<B> {
         adapter: std::marker::PhantomData,
         current: Cell::new(false),
         state: &state,
         version: Cell::new(state.version()),
     };
-    driver.handled();
+    driver.on_handled();
     replica::run(&driver, folder).await;
 }
 
@@ -281,10 +286,10 @@
     }
 }
 
-impl<B: Border> Surroundings for Driver<'_, B> {
-    fn handled(&self) {
+impl<B: Border> Environment for Driver<'_, B> {
+    fn on_handled(&self) {
         let replica = self.state.replica.borrow();
-        let current = replica.raft().current(self.state.clock.now());
+        let current = replica.raft().is_current(self.state.clock.now());
         let regained = !self.current.replace(current) && current;
         let held = replica.ledger().published();
         let newer = held.filter(|held| held.version > self.version.get());
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -6,7 +6,7 @@
     rc::Rc, //
 };
 
-use announcements::Known;
+use announcements::KnownEndpoint;
 use placement::{
     Endpoint,
     Phase, //
@@ -93,7 +93,7 @@
 
 impl Inspect for StoreState {
     fn audit(&self, query: &AuditQuery) -> Option<Vec<AuditLine>> {
-        Some(replica::trail(&self.replica.borrow(), query))
+        Some(replica::audit_records(&self.replica.borrow(), query))
     }
 
     fn endpoints(&self) -> Vec<Announcement> {
@@ -113,7 +113,7 @@
     fn status(&self) -> Status {
         let replica = self.replica.borrow();
         let published = replica.ledger().published();
-        let current = replica.raft().current(self.clock.now());
+        let current = replica.raft().is_current(self.clock.now());
         Status {
             endpoints: self.registry.borrow().iter().count(),
             instance: instance(&self.settings),
@@ -138,7 +138,7 @@
     fn log_members(&self) -> LogMembers {
         let replica = self.replica.borrow();
         let mut members = replica::members(&replica, self.clock.now());
-        if replica.raft().leads() {
+        if replica.raft().is_leader() {
             members.leader = Some(self.settings.name.clone());
         }
         members
@@ -163,7 +163,7 @@
 }
 
 /// An endpoint as announced; only entries know its connections and load.
-fn announcement(known: &Known) -> Announcement {
+fn announcement(known: &KnownEndpoint) -> Announcement {
     let own = &known.announcement;
     Announcement {
         address: own.address.into(),
--- a/crates/replica/src/audit.rs
+++ b/crates/replica/src/audit.rs
@@ -12,7 +12,7 @@
 use crate::replica::Replica;
 
 /// The last records of the audit trail that match a query, oldest first.
-pub fn trail(replica: &Replica, query: &AuditQuery) -> Vec<AuditLine> {
+pub fn audit_records(replica: &Replica, query: &AuditQuery) -> Vec<AuditLine> {
     let count = usize::try_from(query.count).unwrap_or(usize::MAX);
     let section = query.section.as_ref();
     let wanted = |line: &&Audit| section.is_none_or(|name| *name == line.section);
--- a/crates/replica/src/driver.rs
+++ b/crates/replica/src/driver.rs
@@ -11,9 +11,9 @@
 use compio::runtime::ResumeUnwind as _;
 use store::{
     Action,
+    DataFolder,
     Error,
     Event,
-    Folder,
     Message,
     Record,
     Saved, //
@@ -32,9 +32,9 @@
 }
 
 /// Interface of the driver to its process.
-pub trait Surroundings {
+pub trait Environment {
     /// Called after events were handled and before the resulting actions are carried out.
-    fn handled(&self);
+    fn on_handled(&self);
 
     /// Time since the process started.
     fn now(&self) -> Duration;
@@ -47,13 +47,13 @@
 }
 
 /// Drives the replica until the process ends.
-pub async fn run<S: Surroundings>(env: &S, mut folder: Folder) {
+pub async fn run<S: Environment>(env: &S, mut folder: DataFolder) {
     let replica = env.replica();
     loop {
         wait(env).await;
         let actions = replica.borrow_mut().handle(env.now());
         let last = replica.borrow().raft().log().last();
-        env.handled();
+        env.on_handled();
         let (writes, others) = split(actions);
         let written = !writes.is_empty();
         for write in writes {
@@ -99,9 +99,9 @@
 /// sends no messages and no results. None if the runtime ends.
 async fn persist(
     replica: &RefCell<Replica>,
-    mut folder: Folder,
+    mut folder: DataFolder,
     mut write: Write,
-) -> Option<Folder> {
+) -> Option<DataFolder> {
     loop {
         let task = compio::runtime::spawn_blocking(move || {
             let result = match &write {
@@ -135,7 +135,7 @@
 }
 
 /// Waits until an event is queued or a tick is due.
-async fn wait<S: Surroundings>(env: &S) {
+async fn wait<S: Environment>(env: &S) {
     let replica = env.replica();
     let wake = replica.borrow().wake();
     loop {
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -7,11 +7,11 @@
 
 pub use crate::{
     audit::{
-        outcome,
-        trail, //
+        audit_records,
+        outcome, //
     },
     driver::{
-        Surroundings,
+        Environment,
         run, //
     },
     members::members,
--- a/crates/replica/src/members.rs
+++ b/crates/replica/src/members.rs
@@ -15,7 +15,7 @@
     let leader = raft.leader(now);
     let members = raft.members().0.iter();
     LogMembers {
-        confirmed: replica.confirmed(now),
+        confirmed: replica.in_contact(now),
         leader: leader.map(|leader| leader.name.clone()),
         members: members
             .map(|member| LogMember {
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -20,9 +20,9 @@
 use store::{
     Action,
     Answer,
+    DataFolder,
     Error,
     Event,
-    Folder,
     Ledger,
     Message,
     Raft,
@@ -54,8 +54,8 @@
     /// # Errors
     ///
     /// Any error of the data folder.
-    pub fn open(path: &Path, new_id: StoreId, timing: Timing) -> Result<(Self, Folder), Error> {
-        let (folder, saved) = Folder::open(path, new_id)?;
+    pub fn open(path: &Path, new_id: StoreId, timing: Timing) -> Result<(Self, DataFolder), Error> {
+        let (folder, saved) = DataFolder::open(path, new_id)?;
         let random = ChaCha8Rng::seed_from_u64(rand::random());
         let raft = Raft::new(folder.id(), saved, timing, random).ok_or_else(|| Error::Damaged {
             offset: 0,
@@ -101,7 +101,7 @@
                     let advice = "the store's disk takes nothing at present";
                     self.answer(token, Answer::Refused(code, advice.into()));
                 }
-                Event::Found(..)
+                Event::FormCluster(..)
                 | Event::Init(..)
                 | Event::Join(_)
                 | Event::Message(_)
@@ -125,8 +125,8 @@
 
     /// Whether the store, within the last election timeout, had contact with a quorum as the
     /// leader, or otherwise with a leader.
-    pub fn confirmed(&self, now: Duration) -> bool {
-        self.raft.confirmed(now)
+    pub fn in_contact(&self, now: Duration) -> bool {
+        self.raft.in_contact(now)
     }
 
     /// Handles all queued events, and a tick if one is due.
@@ -184,10 +184,10 @@
 
     /// Whether no edit was ever accepted. None if this is not known: only a leader with contact
     /// with a quorum and all entries committed can tell that there was none.
-    pub fn unused(&self, now: Duration) -> Option<bool> {
+    pub fn never_edited(&self, now: Duration) -> Option<bool> {
         let raft = &self.raft;
         match raft.ledger().revision().0 {
-            0 if !raft.leads() || !raft.confirmed(now) => None,
+            0 if !raft.is_leader() || !raft.in_contact(now) => None,
             0 => (raft.commit() == raft.log().last().index).then_some(true),
             _ => Some(false),
         }
--- a/crates/store/src/election.rs
+++ b/crates/store/src/election.rs
@@ -24,7 +24,7 @@
     /// Handles a tick: the leader sends heartbeats or steps down; any other voter starts a pre-vote
     /// once the election deadline has passed.
     pub(crate) fn tick(&mut self) {
-        if self.leads() {
+        if self.is_leader() {
             return self.heartbeat();
         }
         if self.now < self.election_deadline {
@@ -134,7 +134,7 @@
     /// Whether there is a leader: another store that sent a message within the election timeout, or
     /// this store with answers of a quorum within it.
     pub(crate) fn has_leader(&self) -> bool {
-        self.leader.is_some() && self.confirmed(self.now)
+        self.leader.is_some() && self.in_contact(self.now)
     }
 
     /// Whether a candidate's log is at least as up to date as this store's. A store that was never
--- a/crates/store/src/event.rs
+++ b/crates/store/src/event.rs
@@ -44,7 +44,7 @@
     /// An operator edits a section.
     Edit(Edit, Token),
     /// Forms a cluster of several stores; each one gets the same cluster id and members.
-    Found(ClusterId, Members),
+    FormCluster(ClusterId, Members),
     /// Forms a cluster with this store as its only member.
     Init(ClusterId, Member),
     /// A store requests to join the cluster; only the leader acts on it.
--- a/crates/store/src/fingerprint.rs
+++ b/crates/store/src/fingerprint.rs
@@ -42,7 +42,7 @@
         )
             .hash(hasher);
         (log, snapshot, ledger.revision(), ledger.audit().len()).hash(hasher);
-        self.confirmed(self.now).hash(hasher);
+        self.in_contact(self.now).hash(hasher);
         match role {
             Role::Candidate(votes) => (0, votes).hash(hasher),
             Role::Follower => 1.hash(hasher),
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -48,7 +48,7 @@
 
 /// An open and locked data folder.
 #[derive(Debug)]
-pub struct Folder {
+pub struct DataFolder {
     /// Length of the log file up to the last synced frame, in bytes.
     end: u64,
     id: StoreId,
@@ -58,7 +58,7 @@
     path: PathBuf,
 }
 
-impl Folder {
+impl DataFolder {
     /// Opens a data folder, or creates one with the id `new_id` if there is none.
     ///
     /// An incomplete last frame of the log is truncated: its records were never acknowledged.
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -114,7 +114,9 @@
 
     /// Puts a publication in force, unless the version in force is as high or higher.
     pub fn publish(&mut self, publication: &Publication) -> Published {
-        let published = self.compare(publication).unwrap_or(Published::Accepted);
+        let published = self
+            .check_publication(publication)
+            .unwrap_or(Published::Accepted);
         self.audit_publication(publication, published);
         if published == Published::Accepted {
             self.published = Some(publication.clone());
@@ -123,7 +125,7 @@
     }
 
     /// The result of a publication that would change nothing; none if it would be accepted.
-    pub fn compare(&self, publication: &Publication) -> Option<Published> {
+    pub fn check_publication(&self, publication: &Publication) -> Option<Published> {
         match &self.published {
             Some(held) if held.version > publication.version => Some(Published::Superseded),
             Some(held) if held.same_document(publication) => Some(Published::Repeated),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! The replicated configuration log, based on Raft.
 //!
 //! [`Raft`] is the state machine of one store and does no I/O: it handles elections, replication,
-//! snapshots and membership, and applies committed entries to the [`Ledger`]. [`Folder`] persists
+//! snapshots and membership, and applies committed entries to the [`Ledger`]. [`DataFolder`] persists
 //! its state. A driver passes [`Event`]s to `Raft` and carries out the [`Action`]s that it returns.
 
 mod audit;
@@ -53,7 +53,7 @@
         read,
         write, //
     },
-    folder::Folder,
+    folder::DataFolder,
     id::{
         ClusterId,
         StoreId, //
--- a/crates/store/src/proposal.rs
+++ b/crates/store/src/proposal.rs
@@ -46,7 +46,7 @@
     /// Proposes a publication. One that changes nothing is answered at once: the ledger holds
     /// committed state only.
     pub(crate) fn propose_publication(&mut self, publication: Publication, token: Token) {
-        match self.ledger.compare(&publication) {
+        match self.ledger.check_publication(&publication) {
             Some(known) => self.answer(token, Answer::Published(known)),
             None => self.propose(Payload::Publish(publication), token),
         }
@@ -93,7 +93,7 @@
     }
 
     fn propose(&mut self, payload: Payload, token: Token) {
-        if !self.leads() || !self.confirmed(self.now) {
+        if !self.is_leader() || !self.in_contact(self.now) {
             return self.refuse(token, Code::NoLeader, "this store does not lead");
         }
         let index = self.append(payload);
--- a/crates/store/src/raft.rs
+++ b/crates/store/src/raft.rs
@@ -137,7 +137,7 @@
         match event {
             Event::Change(change, token) => self.propose_change(change, token),
             Event::Edit(edit, token) => self.propose_edit(edit, token),
-            Event::Found(cluster, members) => self.form_cluster(cluster, members),
+            Event::FormCluster(cluster, members) => self.form_cluster(cluster, members),
             Event::Init(cluster, member) => self.init(cluster, member),
             Event::Join(member) => self.join(member),
             Event::Locate(name, centre) => {
@@ -165,7 +165,7 @@
 
     /// Whether the store, within the last election timeout, had contact with a quorum as the
     /// leader, or otherwise with a leader.
-    pub fn confirmed(&self, now: Duration) -> bool {
+    pub fn in_contact(&self, now: Duration) -> bool {
         let recent = |at: Duration| now.saturating_sub(at) < self.timing.election_timeout;
         match &self.role {
             Role::Leader(leader) => self.log.members().is_quorum(|id| {
@@ -181,20 +181,20 @@
     /// Whether the store is up to date: it has contact with a leader and has applied all entries
     /// that a leader reported as committed, or it leads with a quorum and has committed an entry of
     /// its own term.
-    pub fn current(&self, now: Duration) -> bool {
+    pub fn is_current(&self, now: Duration) -> bool {
         let started = match &self.role {
             Role::Leader(leader) => leader.start_index <= self.commit,
             Role::Candidate(_) | Role::Follower | Role::PreCandidate(_) => {
                 self.last_contact.is_some() && self.applied >= self.leader_commit
             }
         };
-        started && self.confirmed(now)
+        started && self.in_contact(now)
     }
 
     /// Whether the store should request to join: it is not a member as far as it knows, or it has
     /// no contact with a leader, for example because it was replaced while it was unreachable.
     pub fn needs_join(&self, now: Duration) -> bool {
-        self.log.members().get(self.id).is_none() || !(self.leads() || self.confirmed(now))
+        self.log.members().get(self.id).is_none() || !(self.is_leader() || self.in_contact(now))
     }
 
     /// Time of the next [`Event::Tick`].
@@ -218,13 +218,13 @@
     /// The leader, if this store is it or had contact with it within the last election timeout.
     pub fn leader(&self, now: Duration) -> Option<&Member> {
         match self.leader {
-            Some(id) if id == self.id || self.confirmed(now) => self.log.members().get(id),
+            Some(id) if id == self.id || self.in_contact(now) => self.log.members().get(id),
             _ => None,
         }
     }
 
     /// Whether the store is the leader.
-    pub const fn leads(&self) -> bool {
+    pub const fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
--- a/crates/store/src/replication.rs
+++ b/crates/store/src/replication.rs
@@ -110,7 +110,7 @@
 
     /// Sends heartbeats if they are due, or steps down if there is no contact with a quorum.
     pub(crate) fn heartbeat(&mut self) {
-        if !self.confirmed(self.now) {
+        if !self.in_contact(self.now) {
             return self.become_follower(self.ballot.term, None);
         }
         let Role::Leader(leader) = &mut self.role else {
@@ -201,7 +201,7 @@
     /// Steps down once a membership without this store as a voter is committed.
     fn step_down_if_removed(&mut self) {
         let committed = self.log.members_index() <= self.commit;
-        if self.leads() && committed && !self.log.members().is_voter(self.id) {
+        if self.is_leader() && committed && !self.log.members().is_voter(self.id) {
             self.become_follower(self.ballot.term, None);
         }
     }
--- a/crates/store/src/timing.rs
+++ b/crates/store/src/timing.rs
@@ -52,7 +52,7 @@
     }
 
     /// Sets the number of applied entries after which a snapshot is taken.
-    pub const fn with_snapshot(mut self, entries: u64) -> Self {
+    pub const fn with_snapshot_entries(mut self, entries: u64) -> Self {
         self.snapshot_entries = entries;
         self
     }
--- a/crates/store/src/voters.rs
+++ b/crates/store/src/voters.rs
@@ -25,7 +25,7 @@
     /// Adds a store as a learner. If a member has the same name but another id, the store has lost
     /// its disk and the old id never returns, so the old member is removed first.
     pub(crate) fn join(&mut self, member: Member) {
-        if !self.leads() || !self.can_change_members() || !self.confirmed(self.now) {
+        if !self.is_leader() || !self.can_change_members() || !self.in_contact(self.now) {
             return;
         }
         let members = self.log.members();
@@ -47,7 +47,7 @@
         let Some(wanted) = self.timing.voters else {
             return;
         };
-        if !self.leads() || !self.can_change_members() || !self.confirmed(self.now) {
+        if !self.is_leader() || !self.can_change_members() || !self.in_contact(self.now) {
             return;
         }
         if let Some(next) = self.next_members(wanted) {
--- a/crates/store/tests/cluster.rs
+++ b/crates/store/tests/cluster.rs
@@ -21,7 +21,7 @@
 use simulation::Simulation;
 
 fn timing() -> Timing {
-    Timing::new().with_snapshot(8).with_voters(3)
+    Timing::new().with_snapshot_entries(8).with_voters(3)
 }
 
 fn publication(version: u64, text: &str) -> Publication {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn found_three_of_four() {
+fn form_cluster_three_of_four() {
     let sim = formed(4);
     assert_eq!(voters(&sim).len(), 3);
     let leader = sim.leader().unwrap();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn found_wanted_voters() {
+fn form_cluster_wanted_voters() {
     let timing = Timing::new().with_voters(5);
     let mut sim = Simulation::founded(8, 3, timing);
     let numbers = all(&sim);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn found_one_late_founder() {
+fn form_cluster_one_late_founder() {
     let mut sim = Simulation::founded(3, 3, timing());
     sim.run(&[0, 1], 20);
     publish(&mut sim, 7, "a", 1);
@@ -190,7 +190,7 @@
     publish(&mut sim, 9, "new", 1);
     sim.deliver_all(&others);
     assert_eq!(published(&sim, 1), Some(Published::Accepted));
-    assert!(sim.nodes[old].raft.leads());
+    assert!(sim.nodes[old].raft.is_leader());
     sim.event(old, Event::Read(Token(2)));
     sim.deliver_all(&all(&sim));
     assert_ne!(sim.answers.get(&Token(2)), Some(&Answer::Current));
@@ -230,7 +230,7 @@
     sim.wipe(others[0], StoreId(99));
     sim.run(&others, 40);
     for number in others {
-        assert!(!sim.nodes[number].raft.leads());
+        assert!(!sim.nodes[number].raft.is_leader());
     }
 }
 
--- a/crates/store/tests/explore.rs
+++ b/crates/store/tests/explore.rs
@@ -91,7 +91,7 @@
                     step.sim.wipe(number, StoreId(100));
                 }));
             }
-            if self.edits == 0 && self.sim.nodes[number].raft.leads() {
+            if self.edits == 0 && self.sim.nodes[number].raft.is_leader() {
                 next.push(self.next(|step| {
                     step.edits += 1;
                     let edit = simulation::edit("explored", 0);
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -9,10 +9,10 @@
 use mimosausher_store::{
     Ballot,
     ClusterId,
+    DataFolder,
     EncodedSnapshot,
     Entry,
     Error,
-    Folder,
     Index,
     Payload,
     Position,
@@ -44,8 +44,8 @@
     })
 }
 
-fn open(path: &Path) -> Result<(Folder, Saved), Error> {
-    Folder::open(path, StoreId(5))
+fn open(path: &Path) -> Result<(DataFolder, Saved), Error> {
+    DataFolder::open(path, StoreId(5))
 }
 
 /// A folder with three synced batches, and the end offsets of the first two.
@@ -73,7 +73,7 @@
 #[test]
 fn open_held_records() {
     let (folder, _) = filled();
-    let (files, saved) = Folder::open(folder.path(), StoreId(6)).unwrap();
+    let (files, saved) = DataFolder::open(folder.path(), StoreId(6)).unwrap();
     assert_eq!(files.id(), StoreId(5));
     assert_eq!(saved.ballot.term, Term(2));
     assert_eq!(saved.cluster, Some(ClusterId(3)));
--- a/crates/store/tests/raft.rs
+++ b/crates/store/tests/raft.rs
@@ -109,7 +109,7 @@
 
 #[test]
 fn edit_resent_after_snapshot() {
-    let timing = Timing::new().with_snapshot(4);
+    let timing = Timing::new().with_snapshot_entries(4);
     let mut sim = with_leader(3, timing);
     for number in 0..20 {
         let name = format!("e{number}");
@@ -135,7 +135,7 @@
 
 #[test]
 fn snapshot_many_parts() {
-    let mut sim = with_leader(3, Timing::new().with_snapshot(4));
+    let mut sim = with_leader(3, Timing::new().with_snapshot_entries(4));
     for number in 0..12 {
         let mut large = edit(&format!("e{number}"), number);
         large.text = format!("team = \"t\"\n# {}\n", "x".repeat(100_000)).into();
@@ -228,7 +228,7 @@
 /// with the same id.
 fn run(seed: u64, count: usize) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut sim = Simulation::new(count, Timing::new().with_snapshot(8));
+    let mut sim = Simulation::new(count, Timing::new().with_snapshot_entries(8));
     let mut token = 0;
     for _ in 0..6000 {
         let any = random.random_range(0..count);
--- a/crates/store/tests/simulation/mod.rs
+++ b/crates/store/tests/simulation/mod.rs
@@ -152,7 +152,7 @@
                 saved,
             });
             if number < founders {
-                sim.event(number, Event::Found(ClusterId(7), members.clone()));
+                sim.event(number, Event::FormCluster(ClusterId(7), members.clone()));
             }
         }
         sim
@@ -280,7 +280,7 @@
 
     pub fn leader(&self) -> Option<usize> {
         let leading = self.nodes.iter().enumerate();
-        let leading = leading.filter(|(_, node)| node.raft.leads());
+        let leading = leading.filter(|(_, node)| node.raft.is_leader());
         leading
             .max_by_key(|(_, node)| node.raft.term())
             .map(|(number, _)| number)
@@ -308,7 +308,7 @@
                 self.violation = Some(format!("changed: {entry:?}"));
             }
         }
-        if !raft.leads() {
+        if !raft.is_leader() {
             return;
         }
         let known = *self.leaders.entry(raft.term()).or_insert(raft.id());
--- a/crates/store/tests/spread.rs
+++ b/crates/store/tests/spread.rs
@@ -92,7 +92,7 @@
         let leader = rest
             .iter()
             .copied()
-            .filter(|number| sim.nodes[*number].raft.leads())
+            .filter(|number| sim.nodes[*number].raft.is_leader())
             .max_by_key(|number| sim.nodes[*number].raft.term());
         let publication = Publication::new(7, b"a");
         sim.event(leader.unwrap(), Event::Publish(publication, Token(1)));
