--- a/crates/daemon/src/document_sync.rs
+++ b/crates/daemon/src/document_sync.rs
@@ -41,7 +41,7 @@
         self.record(&replica);
         let published = self.published.borrow();
         FollowReply {
-            confirmed: replica.confirmed(now),
+            confirmed: replica.in_contact(now),
             delta: published.since(request.revision).filter(|_| !request.brief),
             revision: published.revision(),
         }
--- a/crates/edge/src/run_store.rs
+++ b/crates/edge/src/run_store.rs
@@ -27,14 +27,14 @@
     Signals, //
 };
 use replica::{
-    Replica,
-    Surroundings, //
+    Environment,
+    Replica, //
 };
 use siphasher::sip::SipHasher13;
 use store::{
     ClusterId,
+    DataFolder,
     Event,
-    Folder,
     Member,
     Members,
     Message,
@@ -121,8 +121,10 @@
         .ledger()
         .published()
         .map_or(0, |publication| publication.version);
-    metrics.leads.set(i64::from(replica.raft().leads()));
-    metrics.quorum.set(i64::from(replica.raft().current(now)));
+    metrics.leads.set(i64::from(replica.raft().is_leader()));
+    metrics
+        .quorum
+        .set(i64::from(replica.raft().is_current(now)));
     metrics
         .version
         .set(i64::try_from(version).unwrap_or(i64::MAX));
@@ -141,7 +143,7 @@
     metrics.set_endpoints("known", registry.iter().count());
 }
 
-fn open(settings: Settings) -> Result<(StoreState, Folder), Error> {
+fn open(settings: Settings) -> Result<(StoreState, DataFolder), Error> {
     let data = settings.data.clone().ok_or(Error::Missing("data"))?;
     let own = settings.advertised_address();
     let seeds = settings.seed_addresses();
@@ -151,14 +153,17 @@
         false => StoreId(rand::random()),
     };
     let timing = Timing::new()
-        .with_snapshot(SNAPSHOT_ENTRIES)
+        .with_snapshot_entries(SNAPSHOT_ENTRIES)
         .with_voters(2 * settings.losses.max(1) + 1);
     let (mut replica, folder) = Replica::open(&data, new_id, timing)?;
     if founder {
         let members = seeds.iter().map(|seed| member(*seed, founder_id(*seed)));
         let mut members: Vec<_> = members.collect();
         members.sort_by_key(|member| member.address);
-        replica.push(Event::Found(cluster_id(&seeds), Members(members.into())));
+        replica.push(Event::FormCluster(
+            cluster_id(&seeds),
+            Members(members.into()),
+        ));
     }
     replica.push(Event::Locate(
         member(own, folder.id()).name,
@@ -232,9 +237,9 @@
             seeds.contains(&address) || members.contains(&address.into())
         });
         update_gauges(&state);
-        let before = state.registry.borrow().count();
+        let before = state.registry.borrow().last_change();
         state.registry.borrow_mut().tick(now);
-        let changed = state.registry.borrow().changed(now, before);
+        let changed = state.registry.borrow().changed_since(now, before);
         for record in &changed {
             log::info!(
                 endpoint = &*record.announcement.name, silent = record.silent, age = record.age;
@@ -257,14 +262,14 @@
     version: Cell<u64>,
 }
 
-async fn drive<A: Adapter>(state: Rc<StoreState>, folder: Folder) {
+async fn drive<A: Adapter>(state: Rc<StoreState>, folder: DataFolder) {
     let driver = Driver::<A> {
         adapter: std::marker::PhantomData,
         current: Cell::new(false),
         state: &state,
         version: Cell::new(state.version()),
     };
-    driver.handled();
+    driver.on_handled();
     replica::run(&driver, folder).await;
 }
 
@@ -283,10 +288,10 @@
     }
 }
 
-impl<A: Adapter> Surroundings for Driver<'_, A> {
-    fn handled(&self) {
+impl<A: Adapter> Environment for Driver<'_, A> {
+    fn on_handled(&self) {
         let replica = self.state.replica.borrow();
-        let current = replica.raft().current(self.state.clock.now());
+        let current = replica.raft().is_current(self.state.clock.now());
         let regained = !self.current.replace(current) && current;
         let publication = replica.ledger().published();
         let newer = publication.filter(|publication| publication.version > self.version.get());
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -116,7 +116,9 @@
 
     /// Puts a publication in force, unless the version in force is as high or higher.
     pub fn publish(&mut self, publication: &Publication) -> Published {
-        let result = self.compare(publication).unwrap_or(Published::Accepted);
+        let result = self
+            .check_publication(publication)
+            .unwrap_or(Published::Accepted);
         self.audit_publication(publication, result);
         if result == Published::Accepted {
             self.published = Some(publication.clone());
@@ -125,7 +127,7 @@
     }
 
     /// The result of a publication that would change nothing; none if it would be accepted.
-    pub fn compare(&self, publication: &Publication) -> Option<Published> {
+    pub fn check_publication(&self, publication: &Publication) -> Option<Published> {
         match &self.published {
             Some(in_force) if in_force.version > publication.version => Some(Published::Superseded),
             Some(in_force) if in_force.same_document(publication) => Some(Published::Repeated),
