--- a/crates/daemon/benches/control.rs
+++ b/crates/daemon/benches/control.rs
@@ -26,7 +26,7 @@
 const ENDPOINTS: usize = 18;
 
 /// Time between two announcements.
-const INTERVAL: Duration = Duration::from_secs(1);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Number of announcements of each endpoint before the measurement.
 const WARM_UP: usize = 15;
@@ -81,7 +81,7 @@
             for (announcer, entry) in &mut announcers {
                 announcer.announce(*entry).unwrap();
             }
-            thread::sleep(INTERVAL.saturating_sub(start.elapsed()));
+            thread::sleep(ANNOUNCE_INTERVAL.saturating_sub(start.elapsed()));
         }
     };
     announce(WARM_UP);
--- a/crates/daemon/benches/path.rs
+++ b/crates/daemon/benches/path.rs
@@ -63,7 +63,7 @@
 const REQUESTS: usize = 6_000;
 
 /// Rounds of requests, alternating between the direct connection and the entry.
-const ROUNDS: usize = 3;
+const REQUEST_ROUNDS: usize = 3;
 
 fn main() {
     let cluster = Cluster::new()
@@ -94,14 +94,14 @@
         .map(|_| (packet_rate(relay, sink), packet_rate(entry, sink)))
         .collect();
     rounds.sort_by(|one, other| (one.1 / one.0).total_cmp(&(other.1 / other.0)));
-    let (bare, ours) = rounds[PACKET_ROUNDS / 2];
-    Figure::new("path.packets", "entry", ours, "packets/s").print();
-    Figure::new("path.packets", "bare relay", bare, "packets/s").print();
+    let (relay_rate, entry_rate) = rounds[PACKET_ROUNDS / 2];
+    Figure::new("path.packets", "entry", entry_rate, "packets/s").print();
+    Figure::new("path.packets", "bare relay", relay_rate, "packets/s").print();
     let case = "64-byte packets, median of 15 rounds, target 0.8";
-    Figure::new("path.relay_ratio", case, ours / bare, "").print();
+    Figure::new("path.relay_ratio", case, entry_rate / relay_rate, "").print();
     for (case, round) in [("lowest round", 0), ("highest round", PACKET_ROUNDS - 1)] {
-        let (bare, ours) = rounds[round];
-        Figure::new("path.relay_ratio", case, ours / bare, "").print();
+        let (relay_rate, entry_rate) = rounds[round];
+        Figure::new("path.relay_ratio", case, entry_rate / relay_rate, "").print();
     }
 }
 
@@ -140,7 +140,7 @@
 
 fn requests(entry: SocketAddr, direct: SocketAddr) {
     let mut rates = [0.0_f64; 2];
-    for _ in 0..ROUNDS {
+    for _ in 0..REQUEST_ROUNDS {
         for (rate, address) in rates.iter_mut().zip([direct, entry]) {
             let histogram = request_latencies(address);
             let case = if address == entry { "entry" } else { "direct" };
@@ -153,10 +153,16 @@
             }
         }
     }
-    let [direct, ours] = rates;
-    Figure::new("path.requests", "entry", ours, "requests/s").print();
-    Figure::new("path.requests", "direct", direct, "requests/s").print();
-    Figure::new("path.request_ratio", "one connection", ours / direct, "").print();
+    let [direct_rate, entry_rate] = rates;
+    Figure::new("path.requests", "entry", entry_rate, "requests/s").print();
+    Figure::new("path.requests", "direct", direct_rate, "requests/s").print();
+    Figure::new(
+        "path.request_ratio",
+        "one connection",
+        entry_rate / direct_rate,
+        "",
+    )
+    .print();
 }
 
 /// Sends requests sequentially on one connection; returns their latencies in nanoseconds.
--- a/crates/daemon/tests/config_disk.rs
+++ b/crates/daemon/tests/config_disk.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn edit_full_leader() {
+fn edit_leader_full_disk() {
     let cluster = cluster(3);
     edit_until_accepted(admin(&cluster, 0), "e1", 0);
     fill_disk(&cluster, 0);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn start_used_folder() {
+fn start_locked_folder() {
     let cluster = cluster(1);
     let settings = fs::read_to_string(cluster.folder().join("store-1.toml")).unwrap();
     let folder = tempfile::TempDir::new().unwrap();
--- a/crates/daemon/tests/config_history.rs
+++ b/crates/daemon/tests/config_history.rs
@@ -85,7 +85,8 @@
     }
 }
 
-type Record = Arc<Mutex<Vec<(usize, Action<Operation>)>>>;
+/// Actions of all operators, each with the number of its process.
+type SharedHistory = Arc<Mutex<Vec<(usize, Action<Operation>)>>>;
 
 /// Whether the history of each section is linearizable.
 fn linearizable(actions: &[(usize, Action<Operation>)]) -> bool {
@@ -100,7 +101,7 @@
     })
 }
 
-fn text(name: &str, id: &str) -> String {
+fn section_text(name: &str, id: &str) -> String {
     format!("team = \"t\"\n# {name} {id}\n")
 }
 
@@ -116,7 +117,8 @@
     }
 }
 
-/// Sends an edit, and resends it under the same id to each store in turn until its outcome is known.
+/// Sends an edit, and resends it under the same id to each store in turn until its outcome is
+/// known.
 fn send(stores: &[SocketAddr], start: usize, operation: &Operation) -> Outcome {
     let name = SECTIONS[operation.section];
     for attempt in 0..60 {
@@ -126,7 +128,7 @@
             "base": operation.base,
             "id": operation.id,
             "section": name,
-            "text": text(name, &operation.id),
+            "text": section_text(name, &operation.id),
         });
         let body = edit.to_string();
         let response = call_with_timeout(
@@ -144,9 +146,9 @@
     Outcome::Unknown
 }
 
-/// Runs one operator, which edits the version that it saw last. After an unknown outcome it continues
-/// as a new process of the history, because that edit may still be committed.
-fn operate(stores: &[SocketAddr], number: usize, stop: &AtomicBool, record: &Record) {
+/// Runs one operator, which edits the version that it saw last. After an unknown outcome it
+/// continues as a new process of the history, because that edit may still be committed.
+fn operate(stores: &[SocketAddr], number: usize, stop: &AtomicBool, history: &SharedHistory) {
     let mut bases = [0; SECTIONS.len()];
     let mut process = number;
     let mut unknown = Vec::new();
@@ -162,13 +164,13 @@
             outcome: Outcome::Unknown,
         };
         let call = Action::Call(operation.clone());
-        record.lock().unwrap().push((process, call));
+        history.lock().unwrap().push((process, call));
         operation.outcome = send(stores, number + count, &operation);
         match operation.outcome {
             Outcome::Accepted(version) | Outcome::Conflict(version) => {
                 bases[section] = version;
                 let response = Action::Response(operation);
-                record.lock().unwrap().push((process, response));
+                history.lock().unwrap().push((process, response));
             }
             Outcome::Unknown => {
                 unknown.push((process, Action::Response(operation)));
@@ -177,7 +179,7 @@
         }
         thread::sleep(Duration::from_millis(25));
     }
-    record.lock().unwrap().extend(unknown);
+    history.lock().unwrap().extend(unknown);
 }
 
 /// Starts three stores that connect to each other through forwarders.
@@ -188,8 +190,8 @@
             cluster.and_then(|cluster| cluster.with_nonmember(name, "porto-a"))
         })
         .unwrap();
-    let inner = |store: &standin::Daemon| Forwarder::start(store.address("inner")).unwrap();
-    let links: Vec<_> = cluster.stores.iter().map(inner).collect();
+    let start_link = |store: &standin::Daemon| Forwarder::start(store.address("inner")).unwrap();
+    let links: Vec<_> = cluster.stores.iter().map(start_link).collect();
     let stores: Vec<_> = NAMES
         .iter()
         .zip(&links)
@@ -221,8 +223,8 @@
 }
 
 /// Number of accepted edits in the history.
-fn accepted(record: &Record) -> usize {
-    let actions = record.lock().unwrap();
+fn accepted(history: &SharedHistory) -> usize {
+    let actions = history.lock().unwrap();
     let accepted = actions.iter().filter(|(_, action)| match action {
         Action::Call(_) => false,
         Action::Response(operation) => matches!(operation.outcome, Outcome::Accepted(_)),
@@ -231,20 +233,20 @@
 }
 
 /// Waits until `PROGRESS` more edits are accepted.
-fn await_progress(record: &Record) {
-    let start = accepted(record);
+fn await_progress(history: &SharedHistory) {
+    let start = accepted(history);
     for _ in 0..2000 {
-        if accepted(record) >= start + PROGRESS {
+        if accepted(history) >= start + PROGRESS {
             return;
         }
         thread::sleep(Duration::from_millis(20));
     }
-    panic!("only {} edits were accepted", accepted(record) - start);
+    panic!("only {} edits were accepted", accepted(history) - start);
 }
 
 /// Injects failures one at a time; each is repaired once enough edits were accepted during it.
-fn inject_failures(cluster: &mut Cluster, links: &[Forwarder], record: &Record) {
-    let wait = || await_progress(record);
+fn inject_failures(cluster: &mut Cluster, links: &[Forwarder], history: &SharedHistory) {
+    let wait = || await_progress(history);
     wait();
     let first = leader(cluster);
     cluster.stores[first].kill().unwrap();
@@ -283,17 +285,17 @@
         .iter()
         .map(|store| store.address("admin"))
         .collect();
-    let record = Record::default();
+    let history = SharedHistory::default();
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
         for number in 0..OPERATORS {
-            let (admins, record, stop) = (&admins, &record, &stop);
-            scope.spawn(move || operate(admins, number, stop, record));
+            let (admins, history, stop) = (&admins, &history, &stop);
+            scope.spawn(move || operate(admins, number, stop, history));
         }
-        inject_failures(&mut cluster, &links, &record);
+        inject_failures(&mut cluster, &links, &history);
         stop.store(true, Ordering::SeqCst);
     });
-    let actions = record.lock().unwrap().clone();
+    let actions = history.lock().unwrap().clone();
     let accepted: Vec<_> = actions
         .iter()
         .filter_map(|(_, action)| match action {
@@ -313,7 +315,12 @@
     }
 }
 
-fn step(process: usize, id: &str, base: u64, outcome: Outcome) -> Vec<(usize, Action<Operation>)> {
+fn actions(
+    process: usize,
+    id: &str,
+    base: u64,
+    outcome: Outcome,
+) -> Vec<(usize, Action<Operation>)> {
     let operation = |outcome| Operation {
         base,
         id: id.to_owned(),
@@ -328,16 +335,16 @@
 
 #[test]
 fn history_not_linearizable() {
-    let first = step(0, "a", 0, Outcome::Accepted(1));
-    let right = [first.clone(), step(1, "b", 1, Outcome::Accepted(2))].concat();
+    let first = actions(0, "a", 0, Outcome::Accepted(1));
+    let right = [first.clone(), actions(1, "b", 1, Outcome::Accepted(2))].concat();
     assert!(linearizable(&right));
-    let twice = [first.clone(), step(1, "b", 0, Outcome::Accepted(1))].concat();
+    let twice = [first.clone(), actions(1, "b", 0, Outcome::Accepted(1))].concat();
     assert!(!linearizable(&twice));
-    let lost = [first.clone(), step(1, "b", 3, Outcome::Conflict(0))].concat();
+    let lost = [first.clone(), actions(1, "b", 3, Outcome::Conflict(0))].concat();
     assert!(!linearizable(&lost));
-    let unknown = [first, step(1, "b", 1, Outcome::Unknown)].concat();
-    let accepted = [unknown.clone(), step(2, "c", 2, Outcome::Accepted(3))].concat();
+    let unknown = [first, actions(1, "b", 1, Outcome::Unknown)].concat();
+    let accepted = [unknown.clone(), actions(2, "c", 2, Outcome::Accepted(3))].concat();
     assert!(linearizable(&accepted));
-    let skipped = [unknown, step(2, "c", 3, Outcome::Accepted(4))].concat();
+    let skipped = [unknown, actions(2, "c", 3, Outcome::Accepted(4))].concat();
     assert!(!linearizable(&skipped));
 }
--- a/crates/daemon/tests/config_stores.rs
+++ b/crates/daemon/tests/config_stores.rs
@@ -36,7 +36,7 @@
     serde_json::from_slice(&response.body).unwrap()
 }
 
-fn text(number: u64) -> String {
+fn section_text(number: u64) -> String {
     format!(
         "team = \"t\"\n\n[[service]]\nname = \"s\"\nmode = \"requests\"\n\
          hosts = [\"h{number}.example\"]\nendpoints = [\"e-*\"]\n"
@@ -46,7 +46,7 @@
 /// Resends an edit until it is accepted or refused with a code that isn't temporary.
 fn edit(instance: SocketAddr, id: &str, base: u64) -> Value {
     for _ in 0..500 {
-        if let Ok(response) = Cluster::edit(instance, id, "section", base, &text(base)) {
+        if let Ok(response) = Cluster::edit(instance, id, "section", base, &section_text(base)) {
             let outcome: Value = serde_json::from_slice(&response.body).unwrap();
             let code = outcome["refused"]["code"].as_str();
             if !matches!(code, Some("EditUnknown" | "NoLeader" | "StorageFull")) {
@@ -111,7 +111,8 @@
         page["confirmed"] == false && page["leader"].is_null()
     })
     .unwrap();
-    let response = Cluster::edit(admin(&cluster, first), "e1", "section", 0, &text(0)).unwrap();
+    let response =
+        Cluster::edit(admin(&cluster, first), "e1", "section", 0, &section_text(0)).unwrap();
     assert!(
         response.text().contains("\"NoLeader\""),
         "{}",
@@ -128,7 +129,7 @@
     let cluster = Cluster::new()
         .and_then(|cluster| cluster.with_nonmember("store-1", "porto-a"))
         .unwrap();
-    let response = Cluster::edit(admin(&cluster, 0), "e1", "section", 0, &text(0)).unwrap();
+    let response = Cluster::edit(admin(&cluster, 0), "e1", "section", 0, &section_text(0)).unwrap();
     assert!(response.text().contains("\"NotInitialised\""));
     let page = members(admin(&cluster, 0));
     assert_eq!(
--- a/crates/daemon/tests/distribution_deltas.rs
+++ b/crates/daemon/tests/distribution_deltas.rs
@@ -16,7 +16,7 @@
     Followed, //
 };
 
-fn text(name: &str, host: &str) -> String {
+fn section_text(name: &str, host: &str) -> String {
     format!(
         "team = \"t\"\n\n[[service]]\nname = \"{name}\"\nmode = \"requests\"\n\
          hosts = [\"{host}.example\"]\nendpoints = [\"e-*\"]\n"
@@ -58,7 +58,7 @@
     let store = cluster.stores[0].address("admin");
     let inner = cluster.stores[0].address("inner");
     for (number, name) in ["a", "b", "c"].iter().enumerate() {
-        let text = text(name, name);
+        let text = section_text(name, name);
         let response = Cluster::edit(store, name, name, 0, &text).unwrap();
         let accepted = format!("\"revision\":{}", number + 1);
         assert!(response.text().contains(&accepted), "{}", response.text());
@@ -67,7 +67,7 @@
         changes(&follow(inner, false, 0)),
         (vec!["a", "b", "c"], vec![], true)
     );
-    Cluster::edit(store, "b2", "b", 1, &text("b", "other")).unwrap();
+    Cluster::edit(store, "b2", "b", 1, &section_text("b", "other")).unwrap();
     Cluster::edit(store, "c2", "c", 1, "").unwrap();
     let followed = follow(inner, false, 3);
     assert_eq!((followed.confirmed, followed.revision), (true, 5));
--- a/crates/daemon/tests/distribution_failures.rs
+++ b/crates/daemon/tests/distribution_failures.rs
@@ -1,4 +1,4 @@
-//! Entries that follow frozen, isolated, killed or far-ahead stores, as real processes.
+//! Entries that follow frozen, removed, killed or far-ahead stores, as real processes.
 
 use std::{
     fs,
@@ -14,7 +14,7 @@
     call, //
 };
 
-fn text(number: u64) -> String {
+fn section_text(number: u64) -> String {
     format!(
         "team = \"t\"\n\n[[service]]\nname = \"s\"\nmode = \"requests\"\n\
          hosts = [\"h{number}.example\"]\nendpoints = [\"e-*\"]\n"
@@ -42,7 +42,7 @@
     let id = format!("e{base}");
     let accepted = format!("\"revision\":{}", base + 1);
     await_condition(|| {
-        let response = Cluster::edit(instance, &id, "section", base, &text(base));
+        let response = Cluster::edit(instance, &id, "section", base, &section_text(base));
         response.is_ok_and(|response| response.text().contains(&accepted))
     });
 }
@@ -101,9 +101,9 @@
 }
 
 #[test]
-fn follow_isolated_store() {
+fn follow_removed_store() {
     let mut cluster = cluster(6);
-    let isolated = cluster.stores[2].address("inner");
+    let removed = cluster.stores[2].address("inner");
     Cluster::remove(cluster.stores[0].address("admin"), "store-3").unwrap();
     Cluster::await_page(cluster.stores[2].address("admin"), "/v1/members", |page| {
         page["confirmed"] == false
@@ -114,7 +114,7 @@
     }
     cluster.await_revision(20).unwrap();
     assert!(revision(cluster.stores[2].address("admin")) < 20);
-    let entry_unfollowed = |number| unfollowed(&cluster, &format!("entry-{number}"), isolated);
+    let entry_unfollowed = |number| unfollowed(&cluster, &format!("entry-{number}"), removed);
     await_condition(|| (0..6).any(entry_unfollowed));
     for entry in &mut cluster.entries {
         entry.kill().unwrap();
@@ -136,7 +136,7 @@
     })
     .unwrap();
     let [kept, restarted] = &mut cluster.entries[..] else {
-        panic!("two entries");
+        panic!("the cluster does not have two entries");
     };
     restarted.kill().unwrap();
     restarted.restart().unwrap();
@@ -151,7 +151,7 @@
     });
     assert_eq!((revision(restarted), ready(restarted)), (0, false));
     assert_eq!((revision(kept), ready(kept)), (1, true));
-    let response = Cluster::edit(kept, "late", "section", 1, &text(9)).unwrap();
+    let response = Cluster::edit(kept, "late", "section", 1, &section_text(9)).unwrap();
     let outcome: Value = serde_json::from_slice(&response.body).unwrap();
     assert!(
         ["EditUnknown", "NoLeader"].contains(&outcome["refused"]["code"].as_str().unwrap()),
@@ -171,7 +171,7 @@
     for store in &mut cluster.stores {
         store.kill().unwrap();
     }
-    let response = Cluster::edit(entry, "late", "section", 1, &text(9)).unwrap();
+    let response = Cluster::edit(entry, "late", "section", 1, &section_text(9)).unwrap();
     let outcome: Value = serde_json::from_slice(&response.body).unwrap();
     assert_eq!(outcome["refused"]["code"], "NoLeader");
     assert_eq!((revision(entry), ready(entry)), (1, true));
--- a/crates/daemon/tests/distribution_stalled.rs
+++ b/crates/daemon/tests/distribution_stalled.rs
@@ -25,18 +25,18 @@
     Daemon, //
 };
 
-/// Forwards TCP connections; `freeze` leaves the established ones open and drops all their bytes.
+/// Forwards TCP connections; `stall` leaves the established ones open and drops all their bytes.
 struct Forwarder {
     address: SocketAddr,
-    frozen: Arc<AtomicU64>,
+    stalls: Arc<AtomicU64>,
 }
 
 impl Forwarder {
     fn start(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let frozen = Arc::new(AtomicU64::new(0));
-        let shared = frozen.clone();
+        let stalls = Arc::new(AtomicU64::new(0));
+        let shared = stalls.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let client = stream.unwrap();
@@ -50,32 +50,33 @@
                 }
             }
         });
-        Self { address, frozen }
+        Self { address, stalls }
     }
 
-    fn freeze(&self) {
-        self.frozen.fetch_add(1, Ordering::SeqCst);
+    fn stall(&self) {
+        self.stalls.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-/// Copies bytes; drops them once `frozen` exceeds `epoch`, the count when the connection was opened.
-fn copy(mut from: TcpStream, mut to: TcpStream, frozen: &AtomicU64, epoch: u64) {
+/// Copies bytes; drops them once the number of stalls exceeds `epoch`, the number when the
+/// connection was opened.
+fn copy(mut from: TcpStream, mut to: TcpStream, stalls: &AtomicU64, epoch: u64) {
     let mut bytes = [0; 16_384];
     while let Ok(count) = from.read(&mut bytes) {
-        let silent = frozen.load(Ordering::SeqCst) > epoch;
-        if count == 0 && silent {
+        let stalled = stalls.load(Ordering::SeqCst) > epoch;
+        if count == 0 && stalled {
             // Keeps the connection open towards the other end.
             loop {
                 thread::park();
             }
         }
-        if count == 0 || (!silent && to.write_all(&bytes[..count]).is_err()) {
+        if count == 0 || (!stalled && to.write_all(&bytes[..count]).is_err()) {
             return;
         }
     }
 }
 
-fn text(number: u64) -> String {
+fn section_text(number: u64) -> String {
     format!(
         "team = \"t\"\n\n[[service]]\nname = \"s\"\nmode = \"requests\"\n\
          hosts = [\"h{number}.example\"]\nendpoints = [\"e-*\"]\n"
@@ -83,14 +84,14 @@
 }
 
 #[test]
-fn follow_silent_connections() {
+fn follow_stalled_connections() {
     let cluster = Cluster::new()
         .and_then(|cluster| cluster.with_store("store-1", "porto-a"))
         .unwrap();
     let store = cluster.stores[0].address("admin");
     let inner = cluster.stores[0].address("inner");
     let forwarders = [Forwarder::start(inner), Forwarder::start(inner)];
-    // The forwarders carry no datagrams, so the entry knows the store by these addresses alone.
+    // The forwarders don't forward UDP, so the entry reaches the store only at these addresses.
     let seeds: Vec<_> = forwarders
         .iter()
         .map(|one| one.address.to_string())
@@ -103,14 +104,14 @@
     let entry = Daemon::start(cluster.folder(), "entry-1", &settings).unwrap();
     for number in 0..3 {
         let id = format!("e{number}");
-        let response = Cluster::edit(store, &id, "section", number, &text(number)).unwrap();
+        let response = Cluster::edit(store, &id, "section", number, &section_text(number)).unwrap();
         assert!(response.text().contains("accepted"), "{}", response.text());
         Cluster::await_page(entry.address("admin"), "/v1/status", |page| {
             page["revision"] == number + 1
         })
         .unwrap();
         for forwarder in &forwarders {
-            forwarder.freeze();
+            forwarder.stall();
         }
     }
 }
--- a/crates/daemon/tests/endpoints_failures.rs
+++ b/crates/daemon/tests/endpoints_failures.rs
@@ -15,7 +15,7 @@
 };
 
 /// Time between two announcements.
-const INTERVAL: Duration = Duration::from_millis(200);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Longer than an endpoint stays eligible for new work after its last announcement.
 const EXPIRY: Duration = Duration::from_secs(4);
@@ -67,7 +67,7 @@
         if met {
             return;
         }
-        thread::sleep(INTERVAL);
+        thread::sleep(ANNOUNCE_INTERVAL);
     }
     panic!("the condition was not met in time");
 }
@@ -120,7 +120,7 @@
     // These queue in the frozen entry's socket.
     for _ in 0..10 {
         desk.announce(admins[0]).unwrap();
-        thread::sleep(INTERVAL);
+        thread::sleep(ANNOUNCE_INTERVAL);
     }
     thread::sleep(EXPIRY);
     cluster.entries[1].signal(Signal::CONT).unwrap();
@@ -185,7 +185,7 @@
         {
             return;
         }
-        thread::sleep(INTERVAL);
+        thread::sleep(ANNOUNCE_INTERVAL);
     }
     panic!("the address was not reused in time");
 }
--- a/crates/daemon/tests/flows_changes.rs
+++ b/crates/daemon/tests/flows_changes.rs
@@ -44,7 +44,7 @@
 endpoints = ["streams-*"]
 "#;
 
-const UDP: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(203, 0, 113, 10), 4000);
+const DESTINATION: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(203, 0, 113, 10), 4000);
 
 /// Number of times that a client sends a packet before it gives up.
 const MAX_ATTEMPTS: usize = 8;
@@ -82,7 +82,7 @@
 fn open_flows(fabric: &mut Fabric, count: usize) -> Vec<(Client, String)> {
     (0..count)
         .map(|_| {
-            let client = Client::new(UDP).unwrap();
+            let client = Client::new(DESTINATION).unwrap();
             let name = exchange(&client, fabric);
             assert_eq!(exchange(&client, fabric), name);
             (client, name)
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn forward_replaced_endpoints() {
+fn forward_added_endpoints() {
     let cluster = cluster();
     let first = endpoint(&cluster, "updates-1", "booking-updates");
     cluster.await_endpoints(1).unwrap();
@@ -157,14 +157,14 @@
 /// A TCP segment from `port`, encapsulated as the fabric sends it.
 fn segment(port: u16, syn: bool) -> Vec<u8> {
     let mut bytes = vec![0, 0, 0x08, 0x00];
-    let step = PacketBuilder::ipv4([127, 0, 0, 1], [203, 0, 113, 10], 64);
-    let step = step.tcp(port, 4001, 7, 1024);
-    let step = if syn { step.syn() } else { step.ack(99) };
-    step.write(&mut bytes, &[]).unwrap();
+    let builder = PacketBuilder::ipv4([127, 0, 0, 1], [203, 0, 113, 10], 64);
+    let builder = builder.tcp(port, 4001, 7, 1024);
+    let builder = if syn { builder.syn() } else { builder.ack(99) };
+    builder.write(&mut bytes, &[]).unwrap();
     bytes
 }
 
-/// Sends segments of a flow to an entry until one comes back; true if that is a reset.
+/// Sends segments of a flow to an entry until a reply arrives; true if the reply is a reset.
 fn replies_reset(entry: std::net::SocketAddr, port: u16) -> io::Result<bool> {
     let socket = UdpSocket::bind("127.0.0.1:0")?;
     socket.set_read_timeout(Some(Duration::from_millis(500)))?;
--- a/crates/daemon/tests/flows_limits.rs
+++ b/crates/daemon/tests/flows_limits.rs
@@ -37,7 +37,7 @@
 const FLOWS: usize = 24;
 
 /// Number of packets that a client sends before it gives up.
-const ATTEMPTS: usize = 10;
+const MAX_ATTEMPTS: usize = 10;
 
 #[test]
 fn flow_full_endpoint() {
@@ -60,7 +60,7 @@
     for _ in 0..FLOWS {
         let client = Client::new(DESTINATION).unwrap();
         // An entry drops the first packets of flows for a while after its start.
-        let reply = (0..ATTEMPTS).find_map(|_| client.exchange(&mut fabric).ok());
+        let reply = (0..MAX_ATTEMPTS).find_map(|_| client.exchange(&mut fabric).ok());
         let (_, endpoint) = reply.unwrap();
         assert_eq!(endpoint, "updates-2");
     }
--- a/crates/daemon/tests/members_failures.rs
+++ b/crates/daemon/tests/members_failures.rs
@@ -38,7 +38,7 @@
     .unwrap()
 }
 
-/// The entry for another instance on a status page.
+/// Looks up another instance by name on a status page.
 fn instance_named(page: &Value, name: &str) -> Value {
     let mut list = page["instances"].as_array().unwrap().iter();
     list.find(|instance| instance["name"] == name)
@@ -63,15 +63,15 @@
 #[test]
 fn freeze_entry() {
     let cluster = cluster(3);
-    let [one, two] = [1, 0].map(|entry| cluster.entries[entry].address("admin"));
+    let [second, first] = [1, 0].map(|entry| cluster.entries[entry].address("admin"));
     cluster.entries[2].signal(Signal::STOP).unwrap();
     thread::sleep(Duration::from_secs(10));
-    await_others(one, 2);
-    await_others(two, 2);
+    await_others(second, 2);
+    await_others(first, 2);
     cluster.entries[2].signal(Signal::CONT).unwrap();
     await_instances(&cluster, 3);
-    let frozen = cluster.entries[2].address("admin");
-    let page = await_others(frozen, 3);
+    let resumed = cluster.entries[2].address("admin");
+    let page = await_others(resumed, 3);
     assert!(page["instance"]["refutation"].as_u64() > Some(0));
 }
 
--- a/crates/daemon/tests/requests_common/mod.rs
+++ b/crates/daemon/tests/requests_common/mod.rs
@@ -152,8 +152,8 @@
             .with_entry(&format!("entry-{number}"), centre)
             .unwrap();
     }
-    // An entry that first follows a store which already has a document can't rule out missed claims,
-    // so all entries follow the store before the first edit.
+    // An entry that first follows a store which already has a document can't rule out missed
+    // claims, so all entries follow the store before the first edit.
     for entry in &cluster.entries {
         await_known_claims(entry.address("admin"));
     }
@@ -164,7 +164,8 @@
     cluster
 }
 
-/// Waits until an entry knows from a store that no document was ever in force.
+/// Waits until an entry's metric `claims_known` is 1: a store has confirmed that no document was
+/// ever in force.
 fn await_known_claims(admin: SocketAddr) {
     for _ in 0..600 {
         let page = call(admin, "GET /metrics", &[], b"");
@@ -173,7 +174,7 @@
         }
         thread::sleep(Duration::from_millis(50));
     }
-    panic!("the entry at {admin} did not learn in time that no document was ever in force");
+    panic!("the metric claims_known of the entry at {admin} did not become 1 in time");
 }
 
 /// Waits until every entry lists all others and accepts requests with idempotency keys.
--- a/crates/daemon/tests/requests_idempotency.rs
+++ b/crates/daemon/tests/requests_idempotency.rs
@@ -1,5 +1,5 @@
-//! Requests with idempotency keys run at most once, through resends, lost responses, killed and frozen
-//! entries.
+//! Requests with idempotency keys run at most once, despite resends, lost responses, and killed and
+//! frozen entries.
 
 mod requests_common;
 
@@ -37,7 +37,7 @@
 
 const REQUEST_SETTINGS: &str = "requests = { deadline_ms = 5000, keep_ms = 60000 }\n";
 
-fn desk(delay: u64) -> ScriptedEndpoint {
+fn desk(delay_ms: u64) -> ScriptedEndpoint {
     let served = Mutex::new(0);
     ScriptedEndpoint::start(move |request, stream| {
         let number = {
@@ -46,15 +46,15 @@
             *served
         };
         if !request.path().starts_with("/warm") {
-            thread::sleep(Duration::from_millis(delay));
+            thread::sleep(Duration::from_millis(delay_ms));
         }
         reply(stream, &format!("run {number}"))
     })
 }
 
-fn start(entries: usize, delay: u64) -> (Cluster, ScriptedEndpoint) {
+fn start(entries: usize, delay_ms: u64) -> (Cluster, ScriptedEndpoint) {
     let cluster = cluster(entries, REQUEST_SETTINGS);
-    let endpoint = desk(delay);
+    let endpoint = desk(delay_ms);
     announce(&cluster, "desk-1", 20, endpoint.address);
     cluster.await_endpoints(1).unwrap();
     await_claims(&cluster);
@@ -125,7 +125,7 @@
 
 /// A request continues after its client disconnects, and a resend gets the response.
 #[test]
-fn resend_lost_answer() {
+fn resend_lost_response() {
     let (cluster, endpoint) = start(4, 300);
     let entries = cluster.addresses("requests");
     let mut client = TcpStream::connect(entries[0]).unwrap();
@@ -159,7 +159,8 @@
     assert_eq!(run_count(&endpoint, "k1"), 1);
 }
 
-/// Keys held by a frozen entry stay usable: the two other holders are a quorum.
+/// Keys that have a frozen entry among their holders stay usable: the two other holders are a
+/// quorum.
 #[test]
 fn freeze_one_holder() {
     let (cluster, endpoint) = start(4, 0);
--- a/crates/daemon/tests/requests_limits.rs
+++ b/crates/daemon/tests/requests_limits.rs
@@ -160,7 +160,7 @@
 
 /// A request isn't retried if the connection to its endpoint is lost after it was sent.
 #[test]
-fn retry_never_lost() {
+fn retry_lost_connection() {
     let cluster = cluster(1, "");
     let endpoints: Vec<_> = (1..=2)
         .map(|number| {
@@ -185,7 +185,8 @@
     assert_eq!(runs, 5);
 }
 
-/// A request that doesn't fit into the queue is refused at once, with `retry-after`, and doesn't run.
+/// A request that doesn't fit into the queue is refused at once, with `retry-after`, and doesn't
+/// run.
 #[test]
 fn refuse_full_queue() {
     let cluster = cluster(1, "limits = { queue = 1, queue_ms = 20000 }\n");
--- a/crates/daemon/tests/requests_responses.rs
+++ b/crates/daemon/tests/requests_responses.rs
@@ -1,4 +1,5 @@
-//! Responses are complete or end with an error visible to the client, and never reach another client.
+//! Responses are complete or end with an error visible to the client, and never reach another
+//! client.
 
 mod requests_common;
 
@@ -20,13 +21,13 @@
 };
 use standin::call;
 
-const CHUNKED: &[u8] = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
+const CHUNKED_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
 /// Starts an endpoint whose response depends on the path.
 fn endpoint() -> ScriptedEndpoint {
     ScriptedEndpoint::start(|request, stream| match request.path() {
         "/chunks" => {
-            stream.write_all(CHUNKED).unwrap();
+            stream.write_all(CHUNKED_HEAD).unwrap();
             for part in ["5\r\nfirst\r\n", "6\r\nsecond\r\n", "0\r\n\r\n"] {
                 thread::sleep(Duration::from_millis(30));
                 stream.write_all(part.as_bytes()).unwrap();
@@ -34,7 +35,7 @@
             true
         }
         "/cut-chunks" => {
-            stream.write_all(CHUNKED).unwrap();
+            stream.write_all(CHUNKED_HEAD).unwrap();
             stream.write_all(b"5\r\nfirst\r\n").unwrap();
             thread::sleep(Duration::from_millis(100));
             false
@@ -85,7 +86,7 @@
 }
 
 /// A response that arrives after the deadline is dropped; it never becomes the response to a later
-/// request, also on a reused connection.
+/// request, even on a reused connection.
 #[test]
 fn response_late() {
     let (cluster, endpoint) = single_entry();
--- a/crates/daemon/tests/requests_stop.rs
+++ b/crates/daemon/tests/requests_stop.rs
@@ -78,8 +78,8 @@
     }
 }
 
-/// Sends requests sequentially, and switches to the other entry when a response closes the connection;
-/// returns each status other than 200 and each error.
+/// Sends requests sequentially, and switches to the other entry when a response closes the
+/// connection; returns each status other than 200 and each error.
 fn run_client(entries: [SocketAddr; 2], answered: &AtomicUsize, stop: &AtomicBool) -> Vec<String> {
     let mut failures = Vec::new();
     for entry in entries {
@@ -127,7 +127,8 @@
         .map(|entry| Load::start(entry, entry, 4))
         .collect();
     loads.iter().for_each(|load| load.await_responses(50));
-    // A later incarnation announces draining; announcements of the earlier one are ignored from then on.
+    // A later incarnation announces draining; announcements of the earlier one are ignored from
+    // then on.
     let mut announcer = Announcer::new("desk-1", "desk", endpoints[0].address);
     announcer.incarnation = 2;
     announcer.state = "draining".into();
@@ -145,7 +146,7 @@
     assert_eq!(
         endpoints[0].received().len(),
         drained,
-        "a draining endpoint gets nothing new"
+        "a draining endpoint received a new request"
     );
     for load in loads {
         assert_eq!(load.stop(), Vec::<String>::new());
@@ -180,6 +181,6 @@
             }
             thread::sleep(Duration::from_millis(50));
         }
-        assert!(served, "the restarted entry serves");
+        assert!(served, "the restarted entry did not serve a request");
     }
 }
--- a/examples/standin/src/announcer.rs
+++ b/examples/standin/src/announcer.rs
@@ -1,4 +1,4 @@
-//! An endpoint's announcement to an instance.
+//! Sends an endpoint's announcements to instances.
 
 use std::{
     io,
@@ -9,7 +9,7 @@
 
 use crate::http::call;
 
-/// An endpoint's announcement, sent as JSON.
+/// Announces an endpoint; each announcement is this value as JSON.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct Announcer {
@@ -36,7 +36,7 @@
 }
 
 impl Announcer {
-    /// Creates the announcement of a ready endpoint with 3 slots.
+    /// Creates an announcer for a ready endpoint with 3 slots.
     pub fn new(name: &str, service: &str, address: SocketAddr) -> Self {
         Self {
             address,
--- a/examples/standin/src/bin/caller.rs
+++ b/examples/standin/src/bin/caller.rs
@@ -1,4 +1,5 @@
-//! Sends a request through each entry and one sprayed flow; prints each reply and which endpoint sent it.
+//! Sends a request through each entry and one sprayed flow; prints each reply and the endpoint that
+//! sent it.
 
 use std::{
     collections::BTreeSet,
--- a/examples/standin/src/bin/endpoint.rs
+++ b/examples/standin/src/bin/endpoint.rs
@@ -17,7 +17,7 @@
 };
 
 /// Time between two announcements.
-const INTERVAL: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Command-line arguments.
 #[derive(Debug)]
@@ -57,6 +57,6 @@
                 Err(error) => eprintln!("{instance}: {error}"),
             }
         }
-        thread::sleep(INTERVAL);
+        thread::sleep(ANNOUNCE_INTERVAL);
     }
 }
--- a/examples/standin/src/cluster.rs
+++ b/examples/standin/src/cluster.rs
@@ -60,7 +60,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are open.
+    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are
+    /// open.
     pub fn with_entry(mut self, name: &str, centre: &str) -> io::Result<Self> {
         let text = self.settings(name, centre, "entry")
             + "fabric = \"127.0.0.1:0\"\nrequests = \"127.0.0.1:0\"\n";
@@ -103,7 +104,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are open.
+    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are
+    /// open.
     pub fn with_nonmember(mut self, name: &str, centre: &str) -> io::Result<Self> {
         let mut text = self.settings(name, centre, "store");
         let data = self.folder.path().join(format!("{name}-data"));
--- a/examples/standin/src/daemon.rs
+++ b/examples/standin/src/daemon.rs
@@ -47,7 +47,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are open.
+    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are
+    /// open.
     pub fn start(folder: &Path, name: &str, settings: &str) -> io::Result<Self> {
         let path = folder.join(format!("{name}.toml"));
         fs::write(&path, settings)?;
@@ -70,13 +71,14 @@
     ///
     /// # Errors
     ///
-    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are open.
+    /// Returns an I/O error, or an error with the log if the daemon exits before its ports are
+    /// open.
     pub fn restart(&mut self) -> io::Result<()> {
         let mut text = fs::read_to_string(&self.settings)?;
         for (listener, address) in &self.addresses {
             if let Some(address) = address {
-                let unbound = format!("{listener} = \"127.0.0.1:0\"");
-                text = text.replace(&unbound, &format!("{listener} = \"{address}\""));
+                let any_port = format!("{listener} = \"127.0.0.1:0\"");
+                text = text.replace(&any_port, &format!("{listener} = \"{address}\""));
             }
         }
         fs::write(&self.settings, text)?;
--- a/examples/standin/src/endpoint.rs
+++ b/examples/standin/src/endpoint.rs
@@ -95,8 +95,8 @@
         Ok(endpoint)
     }
 
-    /// Announces the endpoint at intervals until it is dropped, each time to the first instance that
-    /// accepts the announcement.
+    /// Announces the endpoint at intervals until it is dropped, each time to the first instance
+    /// that accepts the announcement.
     pub fn announce(&self, mut announcer: Announcer, instances: Vec<SocketAddr>) {
         let stop = self.stop.clone();
         thread::spawn(move || {
--- a/examples/standin/src/forwarder.rs
+++ b/examples/standin/src/forwarder.rs
@@ -112,7 +112,7 @@
 /// Copies bytes in one direction until either end closes.
 fn copy(mut from: &TcpStream, mut to: &TcpStream, state: &Arc<AtomicU8>, direction: Direction) {
     let mut buffer = vec![0; 64 * 1024];
-    // If this fails, a read can block and the connection isn't cut.
+    // If this fails, a read can block and the connection isn't closed in time.
     let _set = from.set_read_timeout(Some(POLL_INTERVAL));
     while await_open(state, direction) {
         let length = match from.read(&mut buffer) {
--- a/examples/standin/src/throughput.rs
+++ b/examples/standin/src/throughput.rs
@@ -10,7 +10,8 @@
 };
 
 /// Sends `count` packets through `hop` to `sink`, with up to `window` in flight, and returns the
-/// packets received per second. `send` sends the packet with a given number; lost packets are resent.
+/// packets received per second. `send` sends the packet with a given number; lost packets are
+/// resent.
 ///
 /// # Errors
 ///
