--- a/crates/configuration/benches/capacity.rs
+++ b/crates/configuration/benches/capacity.rs
@@ -15,7 +15,7 @@
 use standin::{
     Figure,
     Fit,
-    resident, //
+    resident_bytes, //
 };
 
 /// Numbers of services.
@@ -30,11 +30,11 @@
 fn main() {
     let (mut memories, mut times) = (Vec::new(), Vec::new());
     for size in SIZES {
-        let before = resident().unwrap();
+        let before = resident_bytes().unwrap();
         let mut configuration = Configuration::new();
         let changed = (0..size / SECTION).map(|number| text(number, 0)).collect();
         apply(&mut configuration, change(1, true, changed));
-        memories.push((f64::from(size), resident().unwrap() - before));
+        memories.push((f64::from(size), resident_bytes().unwrap() - before));
         let start = Instant::now();
         for turn in 0..CHANGES {
             let changed = vec![text(turn % (size / SECTION), turn)];
--- a/crates/daemon/benches/path.rs
+++ b/crates/daemon/benches/path.rs
@@ -29,7 +29,7 @@
     Figure,
     Response,
     gre_packet,
-    pump, //
+    throughput, //
 };
 
 const SECTION: &str = r#"
@@ -114,7 +114,7 @@
     let to = SocketAddrV4::new([203, 0, 113, 10].into(), 4000);
     let bytes = gre_packet(from, to, &[0; 36]).unwrap();
     let send = |_, hop| source.send_to(&bytes, hop);
-    pump(hop, sink, (PACKETS, WINDOW), send).unwrap()
+    throughput(hop, sink, (PACKETS, WINDOW), send).unwrap()
 }
 
 /// Starts a relay that forwards packets without parsing them, on the same runtime as the daemon's.
--- a/crates/daemon/tests/config_history.rs
+++ b/crates/daemon/tests/config_history.rs
@@ -21,7 +21,7 @@
 use standin::{
     Cluster,
     Forwarder,
-    Passage,
+    LinkState,
     Signal,
     call,
     call_with_timeout, //
@@ -256,11 +256,11 @@
     cluster.stores[frozen].signal(Signal::STOP).unwrap();
     wait();
     cluster.stores[frozen].signal(Signal::CONT).unwrap();
-    for passage in [Passage::Frozen, Passage::Cut] {
+    for state in [LinkState::Stalled, LinkState::Closed] {
         let index = leader(cluster);
-        links[index].set(passage);
+        links[index].set(state);
         wait();
-        links[index].set(Passage::Open);
+        links[index].set(LinkState::Open);
         cluster.await_voters(3).unwrap();
     }
     let lost = (leader(cluster) + 1) % 3;
--- a/crates/directory/benches/capacity.rs
+++ b/crates/directory/benches/capacity.rs
@@ -29,7 +29,7 @@
 use standin::{
     Figure,
     Fit,
-    resident, //
+    resident_bytes, //
 };
 
 /// Numbers of endpoints.
@@ -170,7 +170,7 @@
 /// Bytes of memory for one endpoint's binding, from a directory that grows.
 fn memories() -> Vec<(f64, f64)> {
     let (mut directory, now) = (Directory::new(), Duration::from_secs(1));
-    let before = resident().unwrap();
+    let before = resident_bytes().unwrap();
     let mut number = 0;
     let mut points = Vec::new();
     for size in SIZES.map(|size| size * 10) {
@@ -178,7 +178,7 @@
             directory.announce(now, report(number, 1)).unwrap();
             number += 1;
         }
-        points.push((f64::from(size), resident().unwrap() - before));
+        points.push((f64::from(size), resident_bytes().unwrap() - before));
     }
     points
 }
--- a/crates/membership/benches/capacity.rs
+++ b/crates/membership/benches/capacity.rs
@@ -29,7 +29,7 @@
 use standin::{
     Figure,
     Fit,
-    resident, //
+    resident_bytes, //
 };
 
 /// Numbers of instances in the data centre.
@@ -164,9 +164,9 @@
     let (mut times, mut bytes, mut memories) = (Vec::new(), Vec::new(), Vec::new());
     for size in SIZES {
         let count = f64::from(size);
-        let before = resident().unwrap();
+        let before = resident_bytes().unwrap();
         let mut net = Net::new(size);
-        memories.push((count, (resident().unwrap() - before).max(0.0) / count));
+        memories.push((count, (resident_bytes().unwrap() - before).max(0.0) / count));
         net.run(SETTLING);
         net.bytes = 0;
         let start = Instant::now();
--- a/crates/placement/benches/capacity.rs
+++ b/crates/placement/benches/capacity.rs
@@ -27,7 +27,7 @@
 use standin::{
     Figure,
     Fit,
-    resident, //
+    resident_bytes, //
 };
 
 /// Numbers of endpoints of one service.
@@ -51,10 +51,10 @@
     Fit::new(&times).print("capacity.placement_ns", case, "ns/flow");
     let (mut memories, mut times) = (Vec::new(), Vec::new());
     for flows in FLOWS {
-        let before = resident().unwrap();
+        let before = resident_bytes().unwrap();
         let mut pool = pool(14).0;
         let nanos = pass(&mut pool, flows);
-        memories.push((f64::from(flows), resident().unwrap() - before));
+        memories.push((f64::from(flows), resident_bytes().unwrap() - before));
         times.push((f64::from(flows), nanos));
         // Memory that is freed is not given back at once, so it must not serve the next size.
         std::mem::forget(black_box(pool));
--- a/crates/store/benches/capacity.rs
+++ b/crates/store/benches/capacity.rs
@@ -16,7 +16,7 @@
 use standin::{
     Figure,
     Fit,
-    resident, //
+    resident_bytes, //
 };
 
 /// Numbers of sections.
@@ -31,12 +31,12 @@
 fn main() {
     let (mut memories, mut times) = (Vec::new(), Vec::new());
     for size in SIZES {
-        let before = resident().unwrap();
+        let before = resident_bytes().unwrap();
         let mut ledger = Ledger::new();
         for section in 0..size {
             accept(&mut ledger, &edit(section, 0));
         }
-        memories.push((f64::from(size), resident().unwrap() - before));
+        memories.push((f64::from(size), resident_bytes().unwrap() - before));
         let start = Instant::now();
         for section in 0..EDITS {
             accept(&mut ledger, &edit(section, 1));
--- a/examples/standin/src/forwarder.rs
+++ b/examples/standin/src/forwarder.rs
@@ -33,13 +33,13 @@
 /// State of a forwarder, which applies to open and new connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
-pub enum Passage {
+pub enum LinkState {
     /// Forwards both ways.
     Open,
     /// Closes all connections, and new ones at once.
-    Cut,
+    Closed,
     /// Keeps connections open and forwards nothing.
-    Frozen,
+    Stalled,
     /// Forwards both ways with a delay.
     Delayed,
     /// Forwards only from clients to the target.
@@ -79,7 +79,7 @@
     pub fn start_at(address: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
-        let state = Arc::new(AtomicU8::new(Passage::Open as u8));
+        let state = Arc::new(AtomicU8::new(LinkState::Open as u8));
         let shared = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -91,8 +91,8 @@
     }
 
     /// Sets the state, also for open connections.
-    pub fn set(&self, passage: Passage) {
-        self.state.store(passage as u8, Ordering::SeqCst);
+    pub fn set(&self, state: LinkState) {
+        self.state.store(state as u8, Ordering::SeqCst);
     }
 }
 
@@ -122,7 +122,7 @@
             Err(_) => break,
         };
         let bytes = buffer.get(..length).unwrap_or_default();
-        if state.load(Ordering::SeqCst) == Passage::Delayed as u8 {
+        if state.load(Ordering::SeqCst) == LinkState::Delayed as u8 {
             thread::sleep(DELAY);
         }
         if !await_open(state, direction) || to.write_all(bytes).is_err() {
@@ -139,11 +139,11 @@
 fn await_open(state: &Arc<AtomicU8>, direction: Direction) -> bool {
     loop {
         match state.load(Ordering::SeqCst) {
-            state if state == Passage::Frozen as u8 => thread::sleep(POLL_INTERVAL),
-            state if state == Passage::OneWay as u8 && direction == Direction::Downstream => {
+            state if state == LinkState::Stalled as u8 => thread::sleep(POLL_INTERVAL),
+            state if state == LinkState::OneWay as u8 && direction == Direction::Downstream => {
                 thread::sleep(POLL_INTERVAL)
             }
-            state => return state != Passage::Cut as u8,
+            state => return state != LinkState::Closed as u8,
         }
     }
 }
--- a/examples/standin/src/lib.rs
+++ b/examples/standin/src/lib.rs
@@ -36,13 +36,13 @@
     fit::Fit,
     forwarder::{
         Forwarder,
-        Passage, //
+        LinkState, //
     },
     http::{
         Response,
         call,
         call_with_timeout, //
     },
-    memory::resident,
-    throughput::pump,
+    memory::resident_bytes,
+    throughput::throughput,
 };
--- a/examples/standin/src/throughput.rs
+++ b/examples/standin/src/throughput.rs
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// Returns an I/O error if a packet can't be sent.
-pub fn pump(
+pub fn throughput(
     hop: SocketAddr,
     sink: &UdpSocket,
     (count, window): (usize, usize),
