--- a/examples/standin/src/throughput.rs
+++ b/examples/standin/src/throughput.rs
@@ -10,12 +10,13 @@
 };
 
 /// Sends `count` packets through `hop` to `sink`, with up to `window` in flight, and returns the
-/// packets received per second. `send` sends the packet with a given number; lost packets are resent.
+/// packets received per second. `send` sends the packet with a given number; lost packets are
+/// resent.
 ///
 /// # Errors
 ///
 /// Returns an I/O error if a packet can't be sent.
-pub fn pump(
+pub fn throughput(
     hop: SocketAddr,
     sink: &UdpSocket,
     (count, window): (usize, usize),
