--- a/crates/daemon/src/candidates.rs
+++ b/crates/daemon/src/candidates.rs
@@ -50,6 +50,6 @@
         .with_queue(count(service.limits.queue))
         .with_running(count(service.limits.requests))
         .with_wait(Duration::from_millis(service.limits.queue_ms))
-        .with_warm_up(Duration::from_millis(service.change.slow_start))
+        .with_slow_start(Duration::from_millis(service.change.slow_start))
         .with_retry(service.retry.attempts, service.retry.percent)
 }
--- a/crates/daemon/src/claims.rs
+++ b/crates/daemon/src/claims.rs
@@ -13,6 +13,7 @@
 
 use dispatch::{
     Claim,
+    ClaimEnd,
     ClaimId,
     Holder,
     KeyHash,
@@ -20,9 +21,8 @@
     Record,
     Reply,
     Ring,
-    Settled,
-    Verdict,
-    Vote, //
+    Tally,
+    Verdict, //
 };
 use futures::{
     StreamExt,
@@ -103,17 +103,17 @@
     }
 
     /// Creates a new claim of this entry.
-    pub fn new_claim(&self, key: KeyHash, print: u64) -> Claim {
+    pub fn new_claim(&self, key: KeyHash, fingerprint: u64) -> Claim {
         let serial = self.serial.get() + 1;
         self.serial.set(serial);
         Claim {
+            fingerprint,
             id: ClaimId {
                 claimant: self.instance.name.clone(),
                 incarnation: self.view.incarnation(),
                 serial,
             },
             key,
-            print,
         }
     }
 
@@ -126,12 +126,12 @@
             if !unused_known {
                 unused_known = self.query_unused().await;
             }
-            let import_due = self.holder.borrow().wants(self.view.now());
+            let import_due = self.holder.borrow().needs_transfer(self.view.now());
             if import_due {
                 self.import_claims().await;
             }
-            let settled = self.holder.borrow().settled(self.view.now());
-            self.known_gauge.set(i64::from(settled));
+            let complete = self.holder.borrow().is_complete(self.view.now());
+            self.known_gauge.set(i64::from(complete));
             compio::time::sleep(POLL_INTERVAL).await;
         }
     }
@@ -148,30 +148,30 @@
             let holders: Vec<_> = ring.holders(&claim.key).into_iter().cloned().collect();
             (holders, ring.quorum())
         };
-        let mut vote = Vote::new(holders.len(), quorum);
+        let mut tally = Tally::new(holders.len(), quorum);
         let mut replies: FuturesUnordered<_> = holders
             .into_iter()
             .map(|member| self.clone().send_claim(member, claim.clone()))
             .collect();
         while let Some(reply) = replies.next().await {
-            if let Some(verdict) = vote.reply(reply) {
+            if let Some(verdict) = tally.reply(reply) {
                 // The other calls continue, so that as many holders as possible record the claim.
                 compio::runtime::spawn(async move { while replies.next().await.is_some() {} })
                     .detach();
                 return verdict;
             }
         }
-        vote.last()
+        tally.final_verdict()
     }
 
     /// Reports the outcome of a request to the holders of its key.
-    pub fn settle(self: &Rc<Self>, claim: &Claim, settled: &Settled) {
+    pub fn settle(self: &Rc<Self>, claim: &Claim, end: &ClaimEnd) {
         let ring = self.ring.borrow();
         for member in ring.holders(&claim.key) {
             let pending = self.pending();
             let task = self
                 .clone()
-                .send_outcome(member.clone(), claim.clone(), settled.clone());
+                .send_outcome(member.clone(), claim.clone(), end.clone());
             compio::runtime::spawn(async move {
                 task.await;
                 drop(pending);
@@ -187,15 +187,15 @@
     }
 
     /// Records the outcome of a claim's request, as one of its holders.
-    pub fn record_settled(&self, claim: &Claim, settled: Settled) {
+    pub fn record_settled(&self, claim: &Claim, end: ClaimEnd) {
         let mut holder = self.holder.borrow_mut();
-        holder.settle(&claim.key, &claim.id, settled);
+        holder.settle(&claim.key, &claim.id, end);
     }
 
     /// Returns all claims for a new holder; none while this entry may have missed some.
     pub fn records(&self) -> Option<Vec<Record>> {
         self.refresh();
-        self.holder.borrow().records(self.view.now())
+        self.holder.borrow().export(self.view.now())
     }
 
     /// Whether the process that made a claim is still a member.
@@ -223,7 +223,7 @@
                 });
             if let Some(Some(unused)) = unused.await {
                 if unused {
-                    self.holder.borrow_mut().first();
+                    self.holder.borrow_mut().mark_complete();
                 }
                 return true;
             }
@@ -252,8 +252,8 @@
             self.first_document.set(Some(self.view.now()));
         }
         let mut holder = self.holder.borrow_mut();
-        holder.retain(configuration.retention());
-        holder.view(self.view.now(), ring.clone());
+        holder.set_retention(configuration.retention());
+        holder.set_ring(self.view.now(), ring.clone());
         *self.ring.borrow_mut() = ring;
     }
 
@@ -270,12 +270,12 @@
         reply.await.map(convert_claims::reply_from_wire)
     }
 
-    async fn send_outcome(self: Rc<Self>, member: Member, claim: Claim, settled: Settled) {
+    async fn send_outcome(self: Rc<Self>, member: Member, claim: Claim, end: ClaimEnd) {
         if member.name == self.instance.name {
-            return self.record_settled(&claim, settled);
+            return self.record_settled(&claim, end);
         }
         let claim = convert_claims::claim_to_wire(claim);
-        let end = convert_claims::settled_to_wire(settled);
+        let end = convert_claims::claim_end_to_wire(end);
         for _ in 0..SETTLE_ATTEMPTS {
             let reply = self
                 .clients
@@ -307,7 +307,7 @@
                     .map(convert_claims::record_from_wire)
                     .collect();
                 let mut holder = self.holder.borrow_mut();
-                holder.take(self.view.now(), &name, records);
+                holder.import(self.view.now(), &name, records);
             }
         }
     }
--- a/crates/daemon/src/convert_claims.rs
+++ b/crates/daemon/src/convert_claims.rs
@@ -2,11 +2,11 @@
 
 use dispatch::{
     Claim,
+    ClaimEnd,
     ClaimId,
     KeyHash,
     Record,
-    Reply,
-    Settled, //
+    Reply, //
 };
 
 /// Converts a claim to the wire.
@@ -16,7 +16,7 @@
         hash: from.key.hash,
         home: from.key.home,
         incarnation: from.id.incarnation,
-        print: from.print,
+        print: from.fingerprint,
         serial: from.id.serial,
     }
 }
@@ -24,6 +24,7 @@
 /// Converts a claim from the wire.
 pub fn claim_from_wire(from: wire::Claim) -> Claim {
     Claim {
+        fingerprint: from.print,
         id: ClaimId {
             claimant: from.claimant,
             incarnation: from.incarnation,
@@ -33,7 +34,6 @@
             hash: from.hash,
             home: from.home,
         },
-        print: from.print,
     }
 }
 
@@ -76,22 +76,22 @@
 }
 
 /// Converts the outcome of a claim to the wire.
-pub fn settled_to_wire(from: Settled) -> wire::ClaimEnd {
+pub fn claim_end_to_wire(from: ClaimEnd) -> wire::ClaimEnd {
     match from {
-        Settled::Answered(answer) => {
+        ClaimEnd::Answered(answer) => {
             wire::ClaimEnd::Answered(answer.map(|answer| answer.to_vec().into()))
         }
-        Settled::NotRun => wire::ClaimEnd::NotRun,
-        Settled::Unknown => wire::ClaimEnd::Unknown,
+        ClaimEnd::NotRun => wire::ClaimEnd::NotRun,
+        ClaimEnd::Unknown => wire::ClaimEnd::Unknown,
     }
 }
 
 /// Converts the outcome of a claim from the wire.
-pub fn settled_from_wire(from: wire::ClaimEnd) -> Settled {
+pub fn claim_end_from_wire(from: wire::ClaimEnd) -> ClaimEnd {
     match from {
-        wire::ClaimEnd::Answered(answer) => Settled::Answered(answer.map(Into::into)),
-        wire::ClaimEnd::NotRun => Settled::NotRun,
-        wire::ClaimEnd::Unknown => Settled::Unknown,
+        wire::ClaimEnd::Answered(answer) => ClaimEnd::Answered(answer.map(Into::into)),
+        wire::ClaimEnd::NotRun => ClaimEnd::NotRun,
+        wire::ClaimEnd::Unknown => ClaimEnd::Unknown,
     }
 }
 
@@ -100,7 +100,7 @@
     Record {
         age: from.age,
         claim: claim_from_wire(from.claim),
-        settled: from.end.map(settled_from_wire),
+        end: from.end.map(claim_end_from_wire),
     }
 }
 
@@ -109,6 +109,6 @@
     wire::ClaimRecord {
         age: from.age,
         claim: claim_to_wire(from.claim),
-        end: from.settled.map(settled_to_wire),
+        end: from.end.map(claim_end_to_wire),
     }
 }
--- a/crates/daemon/src/follower.rs
+++ b/crates/daemon/src/follower.rs
@@ -10,11 +10,11 @@
 
 use configuration::Prepared;
 use distribution::{
-    ASK_TIMEOUT,
     Answer,
-    Ask,
     FollowerAction as Action,
-    FollowerEvent as Event, //
+    FollowerEvent as Event,
+    POLL_TIMEOUT,
+    Poll, //
 };
 use futures::{
     StreamExt,
@@ -96,9 +96,11 @@
 
     /// Returns the time until the next tick or refresh of the stores is due.
     fn wait_time(&self) -> Duration {
-        let wake = self.node.document_sync.follower.borrow().wake();
-        wake.map_or(REFRESH_INTERVAL, |wake| {
-            wake.saturating_sub(self.node.now()).min(REFRESH_INTERVAL)
+        let next_tick = self.node.document_sync.follower.borrow().next_tick();
+        next_tick.map_or(REFRESH_INTERVAL, |next_tick| {
+            next_tick
+                .saturating_sub(self.node.now())
+                .min(REFRESH_INTERVAL)
         })
     }
 
@@ -147,21 +149,21 @@
         let mut next = next;
         for action in actions {
             match action {
-                Action::Ask { ask, to } => self.poll_store(ask, to),
-                Action::Close(key) => {
-                    log::info!("the store at {key} is no longer followed");
-                    self.upstreams.remove(&key);
-                }
-                Action::Take(_) => {
+                Action::Apply(_) => {
                     if let Some(next) = next.take() {
                         apply(&self.node, next);
                     }
                 }
+                Action::Close(key) => {
+                    log::info!("the store at {key} is no longer followed");
+                    self.upstreams.remove(&key);
+                }
+                Action::Poll { poll, to } => self.poll_store(poll, to),
             }
         }
     }
 
-    fn poll_store(&mut self, ask: Ask, to: SocketAddr) {
+    fn poll_store(&mut self, poll: Poll, to: SocketAddr) {
         self.number += 1;
         let number = self.number;
         let upstream = self.upstreams.entry(to).or_insert_with(|| Upstream {
@@ -172,7 +174,7 @@
         let client = upstream.client.clone();
         let replies = self.replies.clone();
         let call = async move {
-            let followed = call(&client, to, ask).await;
+            let followed = call(&client, to, poll).await;
             // The receiver lives as long as the process.
             let _sent = replies.unbounded_send(Reply {
                 followed,
@@ -184,7 +186,7 @@
     }
 }
 
-async fn call(client: &RefCell<Option<Client>>, to: SocketAddr, ask: Ask) -> Option<Followed> {
+async fn call(client: &RefCell<Option<Client>>, to: SocketAddr, poll: Poll) -> Option<Followed> {
     let open = client.borrow().clone();
     let connected = match open {
         Some(connected) => connected,
@@ -192,12 +194,12 @@
     };
     client.replace(Some(connected.clone()));
     let follow = Follow {
-        brief: ask.brief,
-        fresh: ask.fresh,
-        revision: ask.revision,
+        brief: poll.brief,
+        fresh: poll.fresh,
+        revision: poll.revision,
     };
     let call = connected.follow(context::current(), follow);
-    compio::time::timeout(ASK_TIMEOUT, call).await.ok()?.ok()?
+    compio::time::timeout(POLL_TIMEOUT, call).await.ok()?.ok()?
 }
 
 /// Applies the documents of this instance's own replica until the process ends.
--- a/crates/daemon/src/idempotency.rs
+++ b/crates/daemon/src/idempotency.rs
@@ -10,8 +10,8 @@
     Run, //
 };
 use dispatch::{
+    ClaimEnd,
     KeyHash,
-    Settled,
     Verdict, //
 };
 use futures::channel::oneshot;
@@ -65,8 +65,8 @@
             Verdict::Granted if expired => Code::KeyUnknown,
             Verdict::Granted => return run(node, parsed, claim).await,
             Verdict::Held(id) => {
-                // Granted votes are released, so that one of several claimants can reach a quorum.
-                node.claims.settle(&claim, &Settled::NotRun);
+                // Grants are released, so that one of several claimants can reach a quorum.
+                node.claims.settle(&claim, &ClaimEnd::NotRun);
                 let delay = HELD_KEY_DELAY.mul_f64(rand::random_range(0.5..1.5));
                 if node.now() + delay >= parsed.deadline || !node.claims.claimant_present(&id) {
                     return Err(Code::KeyUnknown.into());
@@ -78,7 +78,7 @@
             Verdict::Ran => Code::KeyAnswered,
             Verdict::Unknown => Code::KeyUnknown,
         };
-        node.claims.settle(&claim, &Settled::NotRun);
+        node.claims.settle(&claim, &ClaimEnd::NotRun);
         return Err(code.into());
     }
 }
@@ -103,11 +103,11 @@
             response.map(|body| body.with_recorder(recorder).finish_if_empty())
         });
         if let Err(error) = &result {
-            let settled = match error.code.run() {
-                Run::Not => Settled::NotRun,
-                Run::May | Run::Ran => Settled::Unknown,
+            let end = match error.code.run() {
+                Run::Not => ClaimEnd::NotRun,
+                Run::May | Run::Ran => ClaimEnd::Unknown,
             };
-            task_node.claims.settle(&claim, &settled);
+            task_node.claims.settle(&claim, &end);
         }
         if let Err(Ok(response)) = sender.send(result) {
             response.into_body().drain().await;
--- a/crates/daemon/src/response_recorder.rs
+++ b/crates/daemon/src/response_recorder.rs
@@ -4,8 +4,8 @@
 
 use dispatch::{
     Claim,
-    Outcome,
-    Settled, //
+    ClaimEnd,
+    Outcome, //
 };
 use hyper::{
     HeaderMap,
@@ -49,14 +49,14 @@
 
     /// Settles the claim with the outcome of its request.
     pub fn finish(self, outcome: Outcome) {
-        let settled = match outcome {
+        let end = match outcome {
             Outcome::Answered => {
-                Settled::Answered(self.response.as_ref().and_then(StoredResponse::encode))
+                ClaimEnd::Answered(self.response.as_ref().and_then(StoredResponse::encode))
             }
-            Outcome::Lost => Settled::Unknown,
-            Outcome::Shed | Outcome::Unreachable => Settled::NotRun,
+            Outcome::Lost => ClaimEnd::Unknown,
+            Outcome::Shed | Outcome::Unreachable => ClaimEnd::NotRun,
         };
-        self.claims.settle(&self.claim, &settled);
+        self.claims.settle(&self.claim, &end);
         drop(self.pending);
     }
 }
--- a/crates/daemon/src/rpc_server.rs
+++ b/crates/daemon/src/rpc_server.rs
@@ -115,7 +115,7 @@
         let claim = convert_claims::claim_from_wire(claim);
         self.node
             .claims
-            .record_settled(&claim, convert_claims::settled_from_wire(end));
+            .record_settled(&claim, convert_claims::claim_end_from_wire(end));
         true
     }
 
--- a/crates/daemon/src/service_pools.rs
+++ b/crates/daemon/src/service_pools.rs
@@ -12,7 +12,7 @@
 use dispatch::{
     Action,
     Event,
-    Observed,
+    LeastRequests,
     Pool,
     Ticket, //
 };
@@ -35,7 +35,7 @@
 
 #[derive(Debug)]
 struct ServicePool {
-    pool: Pool<Observed<EndpointKey>>,
+    pool: Pool<LeastRequests<EndpointKey>>,
     read_at: Option<Duration>,
     tick_scheduled: bool,
 }
@@ -123,7 +123,7 @@
             let actions = service_pool.pool.handle(now, event);
             let tick = service_pool
                 .pool
-                .wake(now)
+                .next_tick(now)
                 .filter(|_| !service_pool.tick_scheduled);
             service_pool.tick_scheduled |= tick.is_some();
             (actions, tick)
@@ -132,10 +132,13 @@
             match action {
                 Action::Place { key, ticket } => self.notify(ticket, Ok(key)),
                 Action::Refuse {
-                    after,
                     code,
+                    retry_after,
                     ticket,
-                } => self.notify(ticket, Err(RequestError::new(code).with_retry_after(after))),
+                } => self.notify(
+                    ticket,
+                    Err(RequestError::new(code).with_retry_after(retry_after)),
+                ),
             }
         }
         if let Some(at) = tick {
@@ -147,7 +150,7 @@
     /// Removes a request whose client has disconnected.
     pub fn cancel(self: &Rc<Self>, service: &str, ticket: Ticket) {
         self.pools.borrow_mut().waiters.remove(&ticket);
-        self.handle_event(service, Event::Left(ticket));
+        self.handle_event(service, Event::Cancelled(ticket));
     }
 
     /// Reads a service's endpoints from the directory, unless they were read within
@@ -173,11 +176,11 @@
                     .by_service
                     .entry(service.into())
                     .or_insert_with(|| ServicePool {
-                        pool: Pool::new(Observed::new(rand::random()), limits),
+                        pool: Pool::new(LeastRequests::new(rand::random()), limits),
                         read_at: None,
                         tick_scheduled: false,
                     });
-            service_pool.pool.limit(limits);
+            service_pool.pool.set_limits(limits);
             // An empty list is not cached, so that the first endpoint of a service serves at once.
             service_pool.read_at = (!candidates.is_empty()).then_some(now);
         }
--- a/crates/daemon/src/store_reads.rs
+++ b/crates/daemon/src/store_reads.rs
@@ -20,7 +20,8 @@
 /// Time limit for the leader to answer.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answers a follower, after waiting up to [`distribution::WAIT`] for a newer document.
+/// Answers a follower, after waiting up to [`distribution::LONG_POLL_TIMEOUT`] for a newer
+/// document.
 pub async fn follow(node: &Node, follow: Follow) -> Option<Followed> {
     let replica = node.replica.as_ref()?;
     if follow.fresh {
@@ -34,7 +35,7 @@
     if followed.revision > follow.revision {
         return Some(followed);
     }
-    let _notified = compio::time::timeout(distribution::WAIT, listener).await;
+    let _notified = compio::time::timeout(distribution::LONG_POLL_TIMEOUT, listener).await;
     Some(node.document_sync.answer(replica, node.now(), follow))
 }
 
@@ -57,7 +58,7 @@
         Some(revision) => revision,
         None => query_leader(node).await?,
     };
-    let until = node.now() + distribution::WAIT;
+    let until = node.now() + distribution::LONG_POLL_TIMEOUT;
     loop {
         let listener = node.replica_changed.listen();
         if replica.borrow().ledger().revision().0 >= target {
--- a/crates/dispatch/benches/capacity.rs
+++ b/crates/dispatch/benches/capacity.rs
@@ -14,9 +14,9 @@
     Event,
     Holder,
     KeyHash,
+    LeastRequests,
     Limits,
     Member,
-    Observed,
     Outcome,
     Pool,
     Ring,
@@ -48,7 +48,7 @@
 
 /// Nanoseconds to place and end a request.
 fn place_request(endpoints: u32) -> f64 {
-    let mut pool = Pool::new(Observed::new(1), Limits::new());
+    let mut pool = Pool::new(LeastRequests::new(1), Limits::new());
     let candidates = (0..endpoints)
         .map(|key| Candidate {
             key,
@@ -77,11 +77,12 @@
         name: name(entry),
     }));
     let mut holder = Holder::new(Duration::ZERO, "entry-0", Duration::from_secs(600));
-    holder.first();
-    holder.view(Duration::ZERO, ring);
+    holder.mark_complete();
+    holder.set_ring(Duration::ZERO, ring);
     let start = Instant::now();
     for serial in 0..CLAIMS {
         let claim = Claim {
+            fingerprint: 1,
             id: ClaimId {
                 claimant: name(1),
                 incarnation: 1,
@@ -91,7 +92,6 @@
                 hash: u128::from(serial),
                 home: None,
             },
-            print: 1,
         };
         holder.claim(Duration::from_millis(serial), claim);
     }
--- a/crates/dispatch/benches/requests.rs
+++ b/crates/dispatch/benches/requests.rs
@@ -13,7 +13,7 @@
 use mimosausher_dispatch::{
     LeasedSlots,
     LeastReported,
-    Observed,
+    LeastRequests,
     Policy,
     TwoChoices, //
 };
@@ -73,8 +73,12 @@
         "two choices" => simulate(deployment, case, false, |entry| {
             TwoChoices::new(seed(entry))
         }),
-        "probing" => simulate(deployment, case, false, |entry| Observed::new(seed(entry))),
-        "shared" => simulate(deployment, case, true, |entry| Observed::new(seed(entry))),
+        "probing" => simulate(deployment, case, false, |entry| {
+            LeastRequests::new(seed(entry))
+        }),
+        "shared" => simulate(deployment, case, true, |entry| {
+            LeastRequests::new(seed(entry))
+        }),
         _ => simulate(deployment, case, true, |entry| {
             LeasedSlots::new(entry, sim::ENTRIES)
         }),
--- a/crates/dispatch/benches/sim/simulation.rs
+++ b/crates/dispatch/benches/sim/simulation.rs
@@ -15,6 +15,7 @@
     Action,
     Candidate,
     Claim,
+    ClaimEnd,
     ClaimId,
     Event,
     Holder,
@@ -25,10 +26,9 @@
     Policy,
     Pool,
     Ring,
-    Settled,
+    Tally,
     Ticket,
-    Verdict,
-    Vote, //
+    Verdict, //
 };
 
 use super::{
@@ -101,8 +101,8 @@
         }));
         let holder = |entry| {
             let mut holder = Holder::new(Duration::ZERO, &name(entry), RUN_TIME * 2);
-            holder.first();
-            holder.view(Duration::ZERO, ring.clone());
+            holder.mark_complete();
+            holder.set_ring(Duration::ZERO, ring.clone());
             (name(entry), holder)
         };
         let mut world = Self {
@@ -230,11 +230,11 @@
         }
         let pool = &mut self.pools[entry as usize];
         let actions = pool.handle(now, event);
-        let wake = pool.wake(now);
-        if let Some(wake) = wake
+        let next_tick = pool.next_tick(now);
+        if let Some(next_tick) = next_tick
             && self.ticking.insert(entry)
         {
-            self.schedule(wake, SimEvent::Tick { entry });
+            self.schedule(next_tick, SimEvent::Tick { entry });
         }
         for action in actions {
             match action {
@@ -272,20 +272,20 @@
     fn claim(&mut self, now: Duration, entry: u32, request: u64) -> Verdict {
         let claim = claim(entry, request);
         let asked = self.ring.holders(&claim.key);
-        let mut vote = Vote::new(asked.len(), self.ring.quorum());
+        let mut tally = Tally::new(asked.len(), self.ring.quorum());
         let mut verdict = None;
         for member in asked {
             let holder = self.holders.get_mut(&member.name);
             let reply = holder.map(|holder| holder.claim(now, claim.clone()));
-            verdict = verdict.or(vote.reply(reply));
+            verdict = verdict.or(tally.reply(reply));
         }
-        verdict.unwrap_or(vote.last())
+        verdict.unwrap_or(tally.final_verdict())
     }
 
-    fn settle(&mut self, entry: u32, request: u64, settled: &Settled) {
+    fn settle(&mut self, entry: u32, request: u64, end: &ClaimEnd) {
         let claim = claim(entry, request);
         for holder in self.holders.values_mut() {
-            holder.settle(&claim.key, &claim.id, settled.clone());
+            holder.settle(&claim.key, &claim.id, end.clone());
         }
     }
 
@@ -308,7 +308,7 @@
         }
         self.placed.remove(&request);
         if planned.keyed {
-            self.settle(entry, request, &Settled::Answered(None));
+            self.settle(entry, request, &ClaimEnd::Answered(None));
         }
         let (outcome, ticket) = (Outcome::Answered, Ticket(request));
         self.pool_event(now, entry, Event::Ended { outcome, ticket });
@@ -318,7 +318,7 @@
         self.not_run.insert(request);
         self.placed.remove(&request);
         if self.requests[request as usize].keyed {
-            self.settle(entry, request, &Settled::NotRun);
+            self.settle(entry, request, &ClaimEnd::NotRun);
         }
         if measured(now) {
             let (slots, hop) = (self.deployment.slots, self.deployment.hop);
@@ -343,7 +343,7 @@
             .filter(|member| member.name != name(CRASHED_ENTRY));
         self.ring = self.ring.with_members(left);
         for holder in self.holders.values_mut() {
-            holder.view(now, self.ring.clone());
+            holder.set_ring(now, self.ring.clone());
         }
         let cancelled: Vec<_> = self
             .placed
@@ -393,6 +393,7 @@
 
 fn claim(entry: u32, request: u64) -> Claim {
     Claim {
+        fingerprint: 1,
         id: ClaimId {
             claimant: name(entry),
             incarnation: 1,
@@ -402,7 +403,6 @@
             hash: u128::from(request),
             home: None,
         },
-        print: 1,
     }
 }
 
--- a/crates/dispatch/src/action.rs
+++ b/crates/dispatch/src/action.rs
@@ -18,10 +18,10 @@
     },
     /// Reject the request with this code; it did not run.
     Refuse {
-        /// Time after which the client may retry.
-        after: Duration,
         /// The reason.
         code: Code,
+        /// Time after which the client may retry.
+        retry_after: Duration,
         /// The request.
         ticket: Ticket,
     },
--- a/crates/dispatch/src/claim.rs
+++ b/crates/dispatch/src/claim.rs
@@ -25,17 +25,17 @@
 /// A claim on a key; it must be granted before the request is sent to an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Claim {
+    /// Fingerprint of the request, to detect that the key is reused for another request.
+    pub fingerprint: u64,
     /// Identifies the claim.
     pub id: ClaimId,
     /// The key.
     pub key: KeyHash,
-    /// Fingerprint of the request, to detect that the key is reused for another request.
-    pub print: u64,
 }
 
 /// How the request of a claim ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Settled {
+pub enum ClaimEnd {
     /// It was answered; no answer is given if it is too long to be stored.
     Answered(Option<Rc<[u8]>>),
     /// It was not sent, or the endpoint refused it before it ran; the claim is released.
@@ -69,5 +69,5 @@
     /// The claim.
     pub claim: Claim,
     /// How it ended, without the answer; none while its request runs.
-    pub settled: Option<Settled>,
+    pub end: Option<ClaimEnd>,
 }
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -18,6 +18,8 @@
         /// The request.
         ticket: Ticket,
     },
+    /// A request was cancelled: its client disconnected, or its answer is no longer needed.
+    Cancelled(Ticket),
     /// A placed request ended.
     Ended {
         /// How it ended.
@@ -27,8 +29,6 @@
     },
     /// The endpoints that accept requests now, as a complete list.
     Endpoints(Vec<Candidate<K>>),
-    /// A request was cancelled: its client disconnected, or its answer is no longer needed.
-    Left(Ticket),
     /// Another entry reported how many requests it runs at each endpoint.
     PeerLoad {
         /// Its running requests by endpoint; endpoints without any may be left out.
--- a/crates/dispatch/src/holder.rs
+++ b/crates/dispatch/src/holder.rs
@@ -12,11 +12,11 @@
 use crate::{
     claim::{
         Claim,
+        ClaimEnd,
         ClaimId,
         KeyHash,
         Record,
-        Reply,
-        Settled, //
+        Reply, //
     },
     ring::Ring, //
 };
@@ -37,8 +37,8 @@
 #[derive(Clone, Debug)]
 struct Held {
     claim: Claim,
+    end: Option<ClaimEnd>,
     made: Duration,
-    settled: Option<Settled>,
     until: Duration,
 }
 
@@ -76,17 +76,17 @@
     }
 
     /// Records that no request ran before this holder was created, so that it missed no claim.
-    pub const fn first(&mut self) {
+    pub const fn mark_complete(&mut self) {
         self.origin = None;
     }
 
     /// Sets how long later claims and their answers are retained.
-    pub const fn retain(&mut self, retention: Duration) {
+    pub const fn set_retention(&mut self, retention: Duration) {
         self.retention = retention;
     }
 
     /// Sets the present members; returns whether they have changed.
-    pub fn view(&mut self, now: Duration, ring: Ring) -> bool {
+    pub fn set_ring(&mut self, now: Duration, ring: Ring) -> bool {
         if self.rings.last().is_some_and(|(_, last)| *last == ring) {
             return false;
         }
@@ -101,14 +101,14 @@
 
     /// Whether claims should be transferred from other holders now: the membership has been stable
     /// for long enough, and this holder may lack claims.
-    pub fn wants(&self, now: Duration) -> bool {
+    pub fn needs_transfer(&self, now: Duration) -> bool {
         let since = self.rings.last().map(|(since, _)| *since);
         let stable = since.is_some_and(|since| now.saturating_sub(since) >= CONVERGENCE);
-        stable && !self.settled(now)
+        stable && !self.is_complete(now)
     }
 
     /// Whether this holder has all claims on all its keys.
-    pub fn settled(&self, now: Duration) -> bool {
+    pub fn is_complete(&self, now: Duration) -> bool {
         let Some((_, last)) = self.rings.last() else {
             return false;
         };
@@ -122,11 +122,11 @@
     }
 
     /// Adds the claims of another holder that has all claims on its keys.
-    pub fn take(&mut self, now: Duration, source: &str, records: Vec<Record>) {
+    pub fn import(&mut self, now: Duration, source: &str, records: Vec<Record>) {
         for record in records {
             let made = now.saturating_sub(Duration::from_millis(record.age));
             if !self.claims.contains_key(&record.claim.key) && self.claims.len() < MAX_CLAIMS {
-                self.insert(record.claim, made, record.settled);
+                self.insert(record.claim, made, record.end);
             }
         }
         self.sources.insert(source.into());
@@ -141,16 +141,16 @@
     }
 
     /// All claims, for a new holder; none if this holder may lack claims on its keys.
-    pub fn records(&self, now: Duration) -> Option<Vec<Record>> {
+    pub fn export(&self, now: Duration) -> Option<Vec<Record>> {
         let record = |held: &Held| Record {
             age: u64::try_from(now.saturating_sub(held.made).as_millis()).unwrap_or(u64::MAX),
             claim: held.claim.clone(),
-            settled: held.settled.as_ref().map(|settled| match settled {
-                Settled::Answered(_) => Settled::Answered(None),
-                Settled::NotRun | Settled::Unknown => Settled::Unknown,
+            end: held.end.as_ref().map(|end| match end {
+                ClaimEnd::Answered(_) => ClaimEnd::Answered(None),
+                ClaimEnd::NotRun | ClaimEnd::Unknown => ClaimEnd::Unknown,
             }),
         };
-        self.settled(now)
+        self.is_complete(now)
             .then(|| self.claims.values().map(record).collect())
     }
 
@@ -159,10 +159,10 @@
         self.expire(now);
         let complete = self.has_all_claims(now, &claim.key);
         match self.claims.get(&claim.key) {
-            Some(held) if held.claim.print != claim.print => Reply::Mismatch,
-            Some(held) => match &held.settled {
-                Some(Settled::Answered(answer)) => Reply::Answered(answer.clone()),
-                Some(Settled::NotRun | Settled::Unknown) => Reply::Unknown,
+            Some(held) if held.claim.fingerprint != claim.fingerprint => Reply::Mismatch,
+            Some(held) => match &held.end {
+                Some(ClaimEnd::Answered(answer)) => Reply::Answered(answer.clone()),
+                Some(ClaimEnd::NotRun | ClaimEnd::Unknown) => Reply::Unknown,
                 None if held.claim.id == claim.id && complete => Reply::Granted,
                 None if held.claim.id == claim.id => Reply::Unknown,
                 None => Reply::Held(held.claim.id.clone()),
@@ -180,28 +180,26 @@
     }
 
     /// Records how the request of a claim ended.
-    pub fn settle(&mut self, key: &KeyHash, id: &ClaimId, settled: Settled) {
+    pub fn settle(&mut self, key: &KeyHash, id: &ClaimId, end: ClaimEnd) {
         let Some(held) = self.claims.get_mut(key) else {
             return;
         };
         if held.claim.id != *id {
             return;
         }
-        let settled = match settled {
-            Settled::NotRun => {
+        let end = match end {
+            ClaimEnd::NotRun => {
                 self.remove(key);
                 return;
             }
-            Settled::Answered(Some(answer)) if self.bytes + answer.len() > MAX_ANSWER_BYTES => {
-                Settled::Answered(None)
+            ClaimEnd::Answered(Some(answer)) if self.bytes + answer.len() > MAX_ANSWER_BYTES => {
+                ClaimEnd::Answered(None)
             }
-            Settled::Answered(_) | Settled::Unknown => settled,
+            ClaimEnd::Answered(_) | ClaimEnd::Unknown => end,
         };
-        self.bytes = self
-            .bytes
-            .saturating_sub(answer_bytes(held.settled.as_ref()))
-            + answer_bytes(Some(&settled));
-        held.settled = Some(settled);
+        self.bytes =
+            self.bytes.saturating_sub(answer_bytes(held.end.as_ref())) + answer_bytes(Some(&end));
+        held.end = Some(end);
     }
 
     /// Number of stored claims.
@@ -270,14 +268,14 @@
         }
     }
 
-    fn insert(&mut self, claim: Claim, made: Duration, settled: Option<Settled>) {
+    fn insert(&mut self, claim: Claim, made: Duration, end: Option<ClaimEnd>) {
         let key = claim.key.clone();
         let until = made + self.retention;
         self.expiry.insert((until, key.clone()));
         let held = Held {
             claim,
+            end,
             made,
-            settled,
             until,
         };
         self.claims.insert(key, held);
@@ -285,19 +283,17 @@
 
     fn remove(&mut self, key: &KeyHash) {
         if let Some(held) = self.claims.remove(key) {
-            self.bytes = self
-                .bytes
-                .saturating_sub(answer_bytes(held.settled.as_ref()));
+            self.bytes = self.bytes.saturating_sub(answer_bytes(held.end.as_ref()));
             self.expiry.remove(&(held.until, key.clone()));
         }
     }
 }
 
 /// Size of a stored answer in bytes.
-fn answer_bytes(settled: Option<&Settled>) -> usize {
-    let answer: Option<&Rc<[u8]>> = match settled {
-        Some(Settled::Answered(Some(answer))) => Some(answer),
-        Some(Settled::Answered(None) | Settled::NotRun | Settled::Unknown) | None => None,
+fn answer_bytes(end: Option<&ClaimEnd>) -> usize {
+    let answer: Option<&Rc<[u8]>> = match end {
+        Some(ClaimEnd::Answered(Some(answer))) => Some(answer),
+        Some(ClaimEnd::Answered(None) | ClaimEnd::NotRun | ClaimEnd::Unknown) | None => None,
     };
     answer.map(|answer| answer.len()).unwrap_or_default()
 }
--- a/crates/dispatch/src/observed.rs
+++ b/crates/dispatch/src/least_requests.rs
@@ -22,7 +22,7 @@
 /// as full is placed again, so that the request itself is the probe. Ties are broken at random;
 /// reported loads are not used.
 #[derive(Clone, Debug)]
-pub struct Observed<K> {
+pub struct LeastRequests<K> {
     keys: PhantomData<K>,
     random: ChaCha8Rng,
 }
@@ -45,7 +45,7 @@
     }
 }
 
-impl<K> Observed<K> {
+impl<K> LeastRequests<K> {
     /// Creates the policy with a seed for its random choices.
     pub fn new(seed: u64) -> Self {
         Self {
@@ -55,7 +55,7 @@
     }
 }
 
-impl<K: Copy + Debug + Ord> Policy for Observed<K> {
+impl<K: Copy + Debug + Ord> Policy for LeastRequests<K> {
     type Key = K;
 
     fn choose(&mut self, views: &[EndpointView<K>]) -> Option<K> {
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,8 +1,8 @@
 //! Admission, limits, placement, retries and at-most-once claims of requests.
 //!
 //! [`Pool`] queues and places the requests of one service; a [`Policy`] selects the endpoint.
-//! [`Holder`] stores claims on idempotency keys, and [`Vote`] counts the holders' replies. An entry
-//! is an instance that accepts client requests.
+//! [`Holder`] stores claims on idempotency keys, and [`Tally`] counts the holders' replies. An
+//! entry is an instance that accepts client requests.
 
 mod action;
 mod budget;
@@ -14,34 +14,34 @@
 mod holder;
 mod leased_slots;
 mod least_reported;
+mod least_requests;
 mod limits;
-mod observed;
 mod outcome;
 mod policy;
 mod pool;
 mod ring;
+mod tally;
 mod ticket;
 mod two_choices;
-mod vote;
 
 pub use crate::{
     action::Action,
     candidate::Candidate,
     claim::{
         Claim,
+        ClaimEnd,
         ClaimId,
         KeyHash,
         Record,
-        Reply,
-        Settled, //
+        Reply, //
     },
     endpoint_view::EndpointView,
     event::Event,
     holder::Holder,
     leased_slots::LeasedSlots,
     least_reported::LeastReported,
+    least_requests::LeastRequests,
     limits::Limits,
-    observed::Observed,
     outcome::Outcome,
     policy::Policy,
     pool::Pool,
@@ -49,10 +49,10 @@
         Member,
         Ring, //
     },
+    tally::{
+        Tally,
+        Verdict, //
+    },
     ticket::Ticket,
     two_choices::TwoChoices,
-    vote::{
-        Verdict,
-        Vote, //
-    },
 };
--- a/crates/dispatch/src/limits.rs
+++ b/crates/dispatch/src/limits.rs
@@ -59,7 +59,7 @@
     }
 
     /// Sets the duration of a new endpoint's slow start.
-    pub const fn with_warm_up(mut self, slow_start: Duration) -> Self {
+    pub const fn with_slow_start(mut self, slow_start: Duration) -> Self {
         self.slow_start = slow_start;
         self
     }
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -89,9 +89,9 @@
             Event::Arrived { deadline, ticket } => {
                 self.arrived(now, deadline, ticket, &mut actions)
             }
+            Event::Cancelled(ticket) => self.cancel(ticket),
             Event::Ended { outcome, ticket } => self.ended(now, outcome, ticket, &mut actions),
             Event::Endpoints(candidates) => self.set_endpoints(now, candidates),
-            Event::Left(ticket) => self.cancel(ticket),
             Event::PeerLoad {
                 counts,
                 peer,
@@ -105,12 +105,12 @@
     }
 
     /// Changes the limits; running and waiting requests are not affected.
-    pub const fn limit(&mut self, limits: Limits) {
+    pub const fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
     /// Time of the next [`Event::Tick`] that is needed; none while no request waits.
-    pub fn wake(&self, now: Duration) -> Option<Duration> {
+    pub fn next_tick(&self, now: Duration) -> Option<Duration> {
         (!self.waiting.is_empty()).then(|| now + RETRY_INTERVAL)
     }
 
@@ -370,8 +370,8 @@
 
     const fn refuse(code: Code, ticket: Ticket) -> Action<P::Key> {
         Action::Refuse {
-            after: RETRY_AFTER,
             code,
+            retry_after: RETRY_AFTER,
             ticket,
         }
     }
--- a/crates/dispatch/src/vote.rs
+++ b/crates/dispatch/src/tally.rs
@@ -28,7 +28,7 @@
 
 /// Counts the holders' replies to one claim.
 #[derive(Clone, Debug)]
-pub struct Vote {
+pub struct Tally {
     holders: usize,
     full: usize,
     granted: usize,
@@ -38,8 +38,8 @@
     replies: usize,
 }
 
-impl Vote {
-    /// Creates the count for a claim that was sent to `holders` holders and needs `quorum` grants.
+impl Tally {
+    /// Creates the tally of a claim that was sent to `holders` holders and needs `quorum` grants.
     pub const fn new(holders: usize, quorum: usize) -> Self {
         Self {
             holders,
@@ -67,13 +67,13 @@
         }
         match self.granted {
             granted if granted >= self.quorum => Some(Verdict::Granted),
-            _ if self.replies >= self.holders => Some(self.last()),
+            _ if self.replies >= self.holders => Some(self.final_verdict()),
             _ => None,
         }
     }
 
     /// The verdict without a quorum, once every holder has replied or timed out.
-    pub fn last(&self) -> Verdict {
+    pub fn final_verdict(&self) -> Verdict {
         match &self.held {
             _ if self.ran => Verdict::Ran,
             Some(id) => Verdict::Held(id.clone()),
--- a/crates/dispatch/tests/claims.rs
+++ b/crates/dispatch/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Tests of claims on idempotency keys: holders, vote counts, and holders that lack claims.
+//! Tests of claims on idempotency keys: holders, tallies, and holders that lack claims.
 
 use std::{
     collections::BTreeMap,
@@ -8,15 +8,15 @@
 
 use mimosausher_dispatch::{
     Claim,
+    ClaimEnd,
     ClaimId,
     Holder,
     KeyHash,
     Member,
     Reply,
     Ring,
-    Settled,
-    Verdict,
-    Vote, //
+    Tally,
+    Verdict, //
 };
 
 const RETENTION: Duration = Duration::from_secs(60);
@@ -43,13 +43,13 @@
 
 fn claim(claimant: &str, key: &KeyHash) -> Claim {
     Claim {
+        fingerprint: 1,
         id: ClaimId {
             claimant: claimant.into(),
             incarnation: 1,
             serial: 1,
         },
         key: key.clone(),
-        print: 1,
     }
 }
 
@@ -58,27 +58,27 @@
     ring.members()
         .map(|member| {
             let mut holder = Holder::new(Duration::ZERO, &member.name, RETENTION);
-            holder.first();
-            holder.view(Duration::ZERO, ring.clone());
+            holder.mark_complete();
+            holder.set_ring(Duration::ZERO, ring.clone());
             (member.name.clone(), holder)
         })
         .collect()
 }
 
-fn vote(
+fn send_claim(
     now: Duration,
     ring: &Ring,
     holders: &mut BTreeMap<Box<str>, Holder>,
     claim: &Claim,
 ) -> Verdict {
     let asked = ring.holders(&claim.key);
-    let mut vote = Vote::new(asked.len(), ring.quorum());
-    let mut verdict = vote.last();
+    let mut tally = Tally::new(asked.len(), ring.quorum());
+    let mut verdict = tally.final_verdict();
     for member in asked {
         let reply = holders
             .get_mut(&member.name)
             .map(|holder| holder.claim(now, claim.clone()));
-        if let Some(certain) = vote.reply(reply) {
+        if let Some(certain) = tally.reply(reply) {
             verdict = certain;
         }
     }
@@ -143,7 +143,10 @@
     let ring = Ring::new().with_members(members());
     let mut holders = holders(&ring);
     let claim = claim("a1", &key(1));
-    assert_eq!(vote(START, &ring, &mut holders, &claim), Verdict::Granted);
+    assert_eq!(
+        send_claim(START, &ring, &mut holders, &claim),
+        Verdict::Granted
+    );
 }
 
 #[test]
@@ -151,19 +154,19 @@
     let ring = Ring::new().with_members(members());
     let mut holders = holders(&ring);
     let first = claim("a1", &key(1));
-    vote(START, &ring, &mut holders, &first);
+    send_claim(START, &ring, &mut holders, &first);
     let resend = claim("b1", &key(1));
     let held = Verdict::Held(first.id.clone());
-    assert_eq!(vote(START, &ring, &mut holders, &resend), held);
+    assert_eq!(send_claim(START, &ring, &mut holders, &resend), held);
     let answer: Rc<[u8]> = Rc::from(&b"answer"[..]);
     for holder in holders.values_mut() {
         holder.settle(
             &first.key,
             &first.id,
-            Settled::Answered(Some(answer.clone())),
+            ClaimEnd::Answered(Some(answer.clone())),
         );
     }
-    let verdict = vote(START, &ring, &mut holders, &resend);
+    let verdict = send_claim(START, &ring, &mut holders, &resend);
     assert_eq!(verdict, Verdict::Answered(answer));
 }
 
@@ -171,12 +174,15 @@
 fn claim_mismatch() {
     let ring = Ring::new().with_members(members());
     let mut holders = holders(&ring);
-    vote(START, &ring, &mut holders, &claim("a1", &key(1)));
+    send_claim(START, &ring, &mut holders, &claim("a1", &key(1)));
     let other = Claim {
-        print: 2,
+        fingerprint: 2,
         ..claim("b1", &key(1))
     };
-    assert_eq!(vote(START, &ring, &mut holders, &other), Verdict::Mismatch);
+    assert_eq!(
+        send_claim(START, &ring, &mut holders, &other),
+        Verdict::Mismatch
+    );
 }
 
 #[test]
@@ -184,12 +190,15 @@
     let ring = Ring::new().with_members(members());
     let mut holders = holders(&ring);
     let first = claim("a1", &key(1));
-    vote(START, &ring, &mut holders, &first);
+    send_claim(START, &ring, &mut holders, &first);
     for holder in holders.values_mut() {
-        holder.settle(&first.key, &first.id, Settled::NotRun);
+        holder.settle(&first.key, &first.id, ClaimEnd::NotRun);
     }
     let resend = claim("b1", &key(1));
-    assert_eq!(vote(START, &ring, &mut holders, &resend), Verdict::Granted);
+    assert_eq!(
+        send_claim(START, &ring, &mut holders, &resend),
+        Verdict::Granted
+    );
 }
 
 /// A late release of an earlier claim does not release a later one.
@@ -197,11 +206,11 @@
 fn claim_late_release() {
     let ring = Ring::new().with_members(members());
     let mut holder = Holder::new(Duration::ZERO, "a1", RETENTION);
-    holder.first();
-    holder.view(Duration::ZERO, ring.with_members([member("a", "a1")]));
+    holder.mark_complete();
+    holder.set_ring(Duration::ZERO, ring.with_members([member("a", "a1")]));
     let (first, second) = (claim("a1", &key(1)), claim("b1", &key(1)));
     holder.claim(START, second.clone());
-    holder.settle(&first.key, &first.id, Settled::NotRun);
+    holder.settle(&first.key, &first.id, ClaimEnd::NotRun);
     assert_eq!(holder.claim(START, first), Reply::Held(second.id));
 }
 
@@ -209,10 +218,13 @@
 fn claim_retention_over() {
     let ring = Ring::new().with_members(members());
     let mut holders = holders(&ring);
-    vote(START, &ring, &mut holders, &claim("a1", &key(1)));
+    send_claim(START, &ring, &mut holders, &claim("a1", &key(1)));
     let resend = claim("b1", &key(1));
     let late = START + RETENTION;
-    assert_eq!(vote(late, &ring, &mut holders, &resend), Verdict::Granted);
+    assert_eq!(
+        send_claim(late, &ring, &mut holders, &resend),
+        Verdict::Granted
+    );
 }
 
 #[test]
@@ -221,23 +233,23 @@
     let mut holders = holders(&ring);
     for hash in 0..50 {
         let first = claim("z1", &key(hash));
-        vote(START, &ring, &mut holders, &first);
+        send_claim(START, &ring, &mut holders, &first);
     }
     let dead = "a1";
     holders.remove(dead);
     let after = ring.with_members(members().into_iter().filter(|m| &*m.name != dead));
     for holder in holders.values_mut() {
-        holder.view(START * 2, after.clone());
+        holder.set_ring(START * 2, after.clone());
     }
     for hash in 0..50 {
         let resend = claim("z2", &key(hash));
-        let verdict = vote(START * 2, &after, &mut holders, &resend);
+        let verdict = send_claim(START * 2, &after, &mut holders, &resend);
         assert!(matches!(verdict, Verdict::Held(_)), "{verdict:?}");
     }
     for hash in 50..100 {
         let first = claim("z1", &key(hash));
         assert_eq!(
-            vote(START * 2, &after, &mut holders, &first),
+            send_claim(START * 2, &after, &mut holders, &first),
             Verdict::Granted
         );
     }
@@ -249,16 +261,16 @@
     let mut holders = holders(&ring);
     let mut unknown = 0;
     for hash in 0..50 {
-        vote(START, &ring, &mut holders, &claim("z1", &key(hash)));
+        send_claim(START, &ring, &mut holders, &claim("z1", &key(hash)));
     }
     let dead = ["a1", "b1"];
     holders.retain(|name, _| !dead.contains(&&**name));
     let after = ring.with_members(members().into_iter().filter(|m| !dead.contains(&&*m.name)));
     for holder in holders.values_mut() {
-        holder.view(START * 2, after.clone());
+        holder.set_ring(START * 2, after.clone());
     }
     for hash in 0..50 {
-        match vote(START * 2, &after, &mut holders, &claim("z2", &key(hash))) {
+        match send_claim(START * 2, &after, &mut holders, &claim("z2", &key(hash))) {
             Verdict::Held(_) => {}
             Verdict::Unknown => unknown += 1,
             verdict => panic!("{verdict:?} for a key that has run"),
@@ -271,7 +283,10 @@
     let later = START * 2 + RETENTION + Duration::from_secs(10);
     for hash in 100..150 {
         let first = claim("z1", &key(hash));
-        assert_eq!(vote(later, &after, &mut holders, &first), Verdict::Granted);
+        assert_eq!(
+            send_claim(later, &after, &mut holders, &first),
+            Verdict::Granted
+        );
     }
 }
 
@@ -279,7 +294,7 @@
 fn restart_without_records() {
     let ring = Ring::new().with_members([member("a", "a1")]);
     let mut holder = Holder::new(Duration::ZERO, "a1", RETENTION);
-    holder.view(Duration::ZERO, ring);
+    holder.set_ring(Duration::ZERO, ring);
     assert_eq!(holder.claim(START, claim("a1", &key(1))), Reply::Unknown);
     let after = RETENTION + Duration::from_secs(10);
     assert_eq!(holder.claim(after, claim("a1", &key(2))), Reply::Granted);
@@ -291,26 +306,29 @@
     let all = [member("a", "a1"), member("b", "b1"), member("c", "c1")];
     let ring = Ring::new().with_members(all.clone());
     let mut holders = holders(&ring);
-    vote(START, &ring, &mut holders, &claim("b1", &key(1)));
+    send_claim(START, &ring, &mut holders, &claim("b1", &key(1)));
     let [mut first, second, third] = all;
     first.incarnation = 2;
     let after = ring.with_members([first, second, third]);
     let mut fresh = Holder::new(START, "a1", RETENTION);
-    fresh.view(START, after.clone());
+    fresh.set_ring(START, after.clone());
     for name in ["b1", "c1"] {
-        holders.get_mut(name).unwrap().view(START, after.clone());
+        holders
+            .get_mut(name)
+            .unwrap()
+            .set_ring(START, after.clone());
     }
     let now = START + Duration::from_secs(10);
-    assert!(fresh.wants(now));
+    assert!(fresh.needs_transfer(now));
     assert_eq!(fresh.claim(now, claim("z1", &key(2))), Reply::Unknown);
     for name in ["b1", "c1"] {
-        let records = holders[name].records(now).unwrap();
-        fresh.take(now, name, records);
+        let records = holders[name].export(now).unwrap();
+        fresh.import(now, name, records);
     }
     assert_eq!(fresh.claim(now, claim("z1", &key(3))), Reply::Granted);
     let held = fresh.claim(now, claim("z1", &key(1)));
     assert_eq!(held, Reply::Held(claim("b1", &key(1)).id));
-    assert!(fresh.records(now).is_some());
+    assert!(fresh.export(now).is_some());
 }
 
 /// A holder whose own set of keys has changed transfers no claims.
@@ -320,8 +338,8 @@
     let mut holders = holders(&ring);
     let after = ring.with_members(members().into_iter().filter(|m| &*m.name != "a1"));
     for holder in holders.values_mut() {
-        holder.view(START, after.clone());
+        holder.set_ring(START, after.clone());
     }
-    assert_eq!(holders["a2"].records(START), None);
-    assert!(holders["b1"].records(START).is_some());
+    assert_eq!(holders["a2"].export(START), None);
+    assert!(holders["b1"].export(START).is_some());
 }
--- a/crates/dispatch/tests/pool.rs
+++ b/crates/dispatch/tests/pool.rs
@@ -7,8 +7,8 @@
     Action,
     Candidate,
     Event,
+    LeastRequests,
     Limits,
-    Observed,
     Outcome,
     Pool,
     Ticket, //
@@ -28,8 +28,8 @@
     }
 }
 
-fn pool(endpoints: u32, slots: u16, limits: Limits) -> Pool<Observed<u32>> {
-    let mut pool = Pool::new(Observed::new(7), limits);
+fn pool(endpoints: u32, slots: u16, limits: Limits) -> Pool<LeastRequests<u32>> {
+    let mut pool = Pool::new(LeastRequests::new(7), limits);
     let candidates = (0..endpoints).map(|key| candidate(key, slots)).collect();
     assert_eq!(
         pool.handle(Duration::ZERO, Event::Endpoints(candidates)),
@@ -38,12 +38,12 @@
     pool
 }
 
-fn arrive(pool: &mut Pool<Observed<u32>>, now: Duration, ticket: u64) -> Vec<Action<u32>> {
+fn arrive(pool: &mut Pool<LeastRequests<u32>>, now: Duration, ticket: u64) -> Vec<Action<u32>> {
     arrive_by(pool, now, ticket, now + SECOND)
 }
 
 fn arrive_by(
-    pool: &mut Pool<Observed<u32>>,
+    pool: &mut Pool<LeastRequests<u32>>,
     now: Duration,
     ticket: u64,
     deadline: Duration,
@@ -53,7 +53,7 @@
 }
 
 fn end(
-    pool: &mut Pool<Observed<u32>>,
+    pool: &mut Pool<LeastRequests<u32>>,
     now: Duration,
     ticket: u64,
     outcome: Outcome,
@@ -154,7 +154,7 @@
     let mut pool = pool(1, 1, Limits::new());
     arrive(&mut pool, SECOND, 1);
     arrive(&mut pool, SECOND, 2);
-    let actions = pool.handle(SECOND, Event::Left(Ticket(1)));
+    let actions = pool.handle(SECOND, Event::Cancelled(Ticket(1)));
     assert_eq!(
         actions,
         [Action::Place {
@@ -162,7 +162,7 @@
             ticket: Ticket(2)
         }]
     );
-    pool.handle(SECOND, Event::Left(Ticket(2)));
+    pool.handle(SECOND, Event::Cancelled(Ticket(2)));
     assert_eq!((pool.running(), pool.waiting()), (0, 0));
 }
 
@@ -171,7 +171,7 @@
     let mut pool = pool(1, 1, Limits::new());
     arrive(&mut pool, SECOND, 1);
     arrive(&mut pool, SECOND, 2);
-    pool.handle(SECOND, Event::Left(Ticket(2)));
+    pool.handle(SECOND, Event::Cancelled(Ticket(2)));
     assert_eq!(end(&mut pool, SECOND, 1, Outcome::Answered), []);
     assert_eq!((pool.running(), pool.waiting()), (0, 0));
 }
@@ -237,7 +237,7 @@
     let used: std::collections::BTreeSet<_> = (200..300)
         .map(|ticket| {
             let key = key(&arrive(&mut pool, now, ticket));
-            pool.handle(now, Event::Left(Ticket(ticket)));
+            pool.handle(now, Event::Cancelled(Ticket(ticket)));
             key
         })
         .collect();
@@ -246,7 +246,7 @@
 
 #[test]
 fn slow_start_share() {
-    let mut pool = pool(1, 3, Limits::new().with_warm_up(SECOND * 3));
+    let mut pool = pool(1, 3, Limits::new().with_slow_start(SECOND * 3));
     let both = vec![candidate(0, 3), candidate(1, 3)];
     pool.handle(SECOND, Event::Endpoints(both));
     let mut placed_at_new = |now: Duration, from: u64| {
@@ -258,7 +258,7 @@
             })
             .collect();
         for ticket in from..from + 6 {
-            pool.handle(now, Event::Left(Ticket(ticket)));
+            pool.handle(now, Event::Cancelled(Ticket(ticket)));
         }
         keys.iter().filter(|key| **key == 1).count()
     };
--- a/crates/distribution/src/follower.rs
+++ b/crates/distribution/src/follower.rs
@@ -5,21 +5,21 @@
     time::Duration, //
 };
 
-/// Time after which an upstream that does not answer is dropped.
-pub const ASK_TIMEOUT: Duration = Duration::from_secs(4);
-
 /// Longest time for which the first upstream may be behind the second.
 pub const MAX_LAG: Duration = Duration::from_millis(250);
 
 /// Most upstreams that are followed at the same time.
 pub const MAX_LINKS: usize = 2;
 
+/// Time after which an upstream that does not answer is dropped.
+pub const POLL_TIMEOUT: Duration = Duration::from_secs(4);
+
 /// Time after which an upstream that failed or is isolated may be tried again.
 pub const UPSTREAM_BACKOFF: Duration = Duration::from_secs(1);
 
 /// A follower's long poll of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Ask {
+pub struct Poll {
     /// Whether to answer with the revision number only, without the changes.
     pub brief: bool,
     /// Whether the answer counts as confirmed only if it includes everything accepted before the
@@ -61,17 +61,17 @@
 /// An action that a follower requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action<K> {
+    /// Apply the changes in the answer; this is their revision.
+    Apply(u64),
+    /// Close the connection to an upstream and discard its outstanding answers.
+    Close(K),
     /// Poll an upstream.
-    Ask {
+    Poll {
         /// The poll.
-        ask: Ask,
+        poll: Poll,
         /// The upstream.
         to: K,
     },
-    /// Close the connection to an upstream and discard its outstanding answers.
-    Close(K),
-    /// Put the changes in the answer into force; this is their revision.
-    Take(u64),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -145,8 +145,8 @@
     }
 
     /// Time of the next [`Event::Tick`] that is needed.
-    pub fn wake(&self) -> Option<Duration> {
-        let timeouts = self.links.iter().map(|link| link.last_poll + ASK_TIMEOUT);
+    pub fn next_tick(&self) -> Option<Duration> {
+        let timeouts = self.links.iter().map(|link| link.last_poll + POLL_TIMEOUT);
         let lagging = self.behind_since.map(|since| since + MAX_LAG);
         let retries = self.backoff.values().copied();
         timeouts.chain(lagging).chain(retries).min()
@@ -159,7 +159,7 @@
         let usable = answer.confirmed || self.confirmed;
         if usable && answer.update && answer.revision > self.revision {
             self.revision = answer.revision;
-            actions.push(Action::Take(answer.revision));
+            actions.push(Action::Apply(answer.revision));
         }
         if !answer.confirmed {
             return self.drop_upstream(now, from, actions);
@@ -183,7 +183,7 @@
         if let Some(link) = self.links.get_mut(index) {
             link.last_poll = now;
             link.pending += 1;
-            let ask = Ask {
+            let poll = Poll {
                 brief: index > 0,
                 fresh: !self.confirmed,
                 revision: if index > 0 {
@@ -193,7 +193,7 @@
                 },
             };
             let to = link.key;
-            actions.push(Action::Ask { ask, to });
+            actions.push(Action::Poll { poll, to });
         }
     }
 
@@ -258,7 +258,7 @@
         let unresponsive: Vec<_> = self
             .links
             .iter()
-            .filter(|link| link.last_poll + ASK_TIMEOUT <= now)
+            .filter(|link| link.last_poll + POLL_TIMEOUT <= now)
             .map(|link| link.key)
             .collect();
         for key in unresponsive {
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -25,21 +25,21 @@
         Section, //
     },
     follower::{
-        ASK_TIMEOUT,
         Action as FollowerAction,
         Answer,
-        Ask,
         Event as FollowerEvent,
         Follower,
         MAX_LAG,
         MAX_LINKS,
+        POLL_TIMEOUT,
+        Poll,
         UPSTREAM_BACKOFF, //
     },
     gossip::Gossip,
     node_key::NodeKey,
     poll_queue::{
-        PollQueue,
-        WAIT, //
+        LONG_POLL_TIMEOUT,
+        PollQueue, //
     },
     rank::{
         Candidate,
--- a/crates/distribution/src/poll_queue.rs
+++ b/crates/distribution/src/poll_queue.rs
@@ -7,16 +7,16 @@
 
 use crate::follower::{
     Answer,
-    Ask, //
+    Poll, //
 };
 
 /// Time after which a long poll is answered even if there is no later revision.
-pub const WAIT: Duration = Duration::from_secs(2);
+pub const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug)]
 struct PendingPoll<K> {
-    ask: Ask,
     from: K,
+    poll: Poll,
     until: Duration,
 }
 
@@ -43,12 +43,12 @@
     }
 
     /// Adds a poll that arrived at `now`.
-    pub fn push(&mut self, now: Duration, from: K, ask: Ask) {
-        self.lowest = self.lowest.min(ask.revision);
+    pub fn push(&mut self, now: Duration, from: K, poll: Poll) {
+        self.lowest = self.lowest.min(poll.revision);
         self.pending.push_back(PendingPoll {
-            ask,
             from,
-            until: now + WAIT,
+            poll,
+            until: now + LONG_POLL_TIMEOUT,
         });
     }
 
@@ -58,7 +58,7 @@
         now: Duration,
         revision: u64,
         confirmed: bool,
-    ) -> Vec<(K, Ask, Answer)> {
+    ) -> Vec<(K, Poll, Answer)> {
         let mut ready = Vec::new();
         while let Some(pending) = self.pending.pop_front_if(|pending| pending.until <= now) {
             ready.push(pending);
@@ -67,10 +67,10 @@
             let (satisfied, waiting): (VecDeque<_>, VecDeque<_>) = self
                 .pending
                 .drain(..)
-                .partition(|pending| revision > pending.ask.revision);
+                .partition(|pending| revision > pending.poll.revision);
             ready.extend(satisfied);
             self.pending = waiting;
-            let revisions = self.pending.iter().map(|pending| pending.ask.revision);
+            let revisions = self.pending.iter().map(|pending| pending.poll.revision);
             self.lowest = revisions.min().unwrap_or(u64::MAX);
         }
         ready
@@ -79,9 +79,9 @@
                 let answer = Answer {
                     confirmed,
                     revision,
-                    update: !pending.ask.brief && revision > pending.ask.revision,
+                    update: !pending.poll.brief && revision > pending.poll.revision,
                 };
-                (pending.from, pending.ask, answer)
+                (pending.from, pending.poll, answer)
             })
             .collect()
     }
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -6,8 +6,8 @@
     follower::{
         self,
         Answer,
-        Ask,
-        Follower, //
+        Follower,
+        Poll, //
     },
     node_key::NodeKey,
     poll_queue::PollQueue,
@@ -22,8 +22,6 @@
 /// A message between a follower and its upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Message {
-    /// Polls for a later revision.
-    Ask(Ask),
     /// Answers a poll.
     Answer {
         /// The answer.
@@ -31,13 +29,15 @@
         /// Number of section changes in the answer.
         changes: u64,
     },
+    /// Polls for a later revision.
+    Poll(Poll),
 }
 
 impl Payload for Message {
     fn changes(&self) -> u64 {
         match self {
             Self::Answer { changes, .. } => *changes,
-            Self::Ask(_) => 0,
+            Self::Poll(_) => 0,
         }
     }
 
@@ -45,7 +45,7 @@
         // An RPC frame: length, kind, call id, trace context, deadline and the fields.
         match self {
             Self::Answer { .. } => 24,
-            Self::Ask(_) => 56,
+            Self::Poll(_) => 56,
         }
     }
 }
@@ -85,11 +85,11 @@
     ) {
         for action in self.follower.handle(now, event) {
             match action {
-                follower::Action::Ask { ask, to } => actions.push(Action::Send {
-                    message: Message::Ask(ask),
+                follower::Action::Apply(_) | follower::Action::Close(_) => {}
+                follower::Action::Poll { poll, to } => actions.push(Action::Send {
+                    message: Message::Poll(poll),
                     to,
                 }),
-                follower::Action::Close(_) | follower::Action::Take(_) => {}
             }
         }
     }
@@ -106,7 +106,7 @@
                     let event = follower::Event::Answer { answer, from };
                     self.drive_follower(now, event, &mut actions);
                 }
-                Message::Ask(ask) => self.polls.push(now, from, ask),
+                Message::Poll(poll) => self.polls.push(now, from, poll),
             },
             Event::Publish(revision) => self.published = self.published.max(revision),
             Event::Start => {
@@ -116,20 +116,20 @@
             Event::Wake => self.drive_follower(now, follower::Event::Tick, &mut actions),
         }
         let revision = self.revision();
-        for (to, ask, answer) in self.polls.take_due(now, revision, self.confirmed()) {
+        for (to, poll, answer) in self.polls.take_due(now, revision, self.confirmed()) {
             let changes = match answer.update {
-                true => revision - ask.revision,
+                true => revision - poll.revision,
                 false => 0,
             };
             let message = Message::Answer { answer, changes };
             actions.push(Action::Send { message, to });
         }
-        let wake = self
+        let next_tick = self
             .polls
             .next_timeout()
             .into_iter()
-            .chain(self.follower.wake());
-        actions.extend(wake.min().map(Action::Wake));
+            .chain(self.follower.next_tick());
+        actions.extend(next_tick.min().map(Action::Wake));
         actions
     }
 
--- a/crates/distribution/tests/follower.rs
+++ b/crates/distribution/tests/follower.rs
@@ -4,37 +4,37 @@
 use std::time::Duration;
 
 use mimosausher_distribution::{
-    ASK_TIMEOUT,
     Answer,
-    Ask,
     Follower,
     FollowerAction as Action,
     FollowerEvent as Event,
     MAX_LAG,
+    POLL_TIMEOUT,
+    Poll,
     UPSTREAM_BACKOFF, //
 };
 
 const ZERO: Duration = Duration::ZERO;
 
 /// The poll of a follower that has applied a confirmed document.
-fn ask(to: u32, brief: bool, revision: u64) -> Action<u32> {
+fn poll(to: u32, brief: bool, revision: u64) -> Action<u32> {
     let fresh = false;
-    let ask = Ask {
+    let poll = Poll {
         brief,
         fresh,
         revision,
     };
-    Action::Ask { ask, to }
+    Action::Poll { poll, to }
 }
 
 /// The poll of a follower that has just started.
-fn first(to: u32, brief: bool) -> Action<u32> {
-    let ask = Ask {
+fn first_poll(to: u32, brief: bool) -> Action<u32> {
+    let poll = Poll {
         brief,
         fresh: true,
         revision: 0,
     };
-    Action::Ask { ask, to }
+    Action::Poll { poll, to }
 }
 
 fn answer(from: u32, confirmed: bool, revision: u64, update: bool) -> Event<u32> {
@@ -50,11 +50,11 @@
 fn settled() -> Follower<u32> {
     let mut follower = Follower::new();
     let actions = follower.handle(ZERO, Event::Upstreams(vec![1, 2, 3]));
-    assert_eq!(actions, [first(1, false), first(2, true)]);
+    assert_eq!(actions, [first_poll(1, false), first_poll(2, true)]);
     let actions = follower.handle(ZERO, answer(1, true, 5, true));
-    assert_eq!(actions, [Action::Take(5), ask(1, false, 5)]);
+    assert_eq!(actions, [Action::Apply(5), poll(1, false, 5)]);
     let actions = follower.handle(ZERO, answer(2, true, 5, false));
-    assert_eq!(actions, [ask(2, true, 5)]);
+    assert_eq!(actions, [poll(2, true, 5)]);
     assert!(follower.confirmed());
     follower
 }
@@ -63,7 +63,7 @@
 fn answer_older_revision() {
     let mut follower = settled();
     let actions = follower.handle(ZERO, answer(1, true, 4, true));
-    assert_eq!(actions, [ask(1, false, 5)]);
+    assert_eq!(actions, [poll(1, false, 5)]);
     assert_eq!(follower.revision(), 5);
 }
 
@@ -77,7 +77,7 @@
     follower.handle(ZERO, answer(2, true, 5, false));
     assert!(!follower.confirmed());
     let actions = follower.handle(ZERO, answer(2, true, 5, true));
-    assert!(actions.contains(&Action::Take(5)));
+    assert!(actions.contains(&Action::Apply(5)));
     assert!(follower.confirmed());
 }
 
@@ -85,10 +85,10 @@
 fn answer_unconfirmed_upstream() {
     let mut follower = settled();
     let actions = follower.handle(ZERO, answer(1, false, 5, false));
-    assert_eq!(actions, [Action::Close(1), ask(3, true, 5)]);
+    assert_eq!(actions, [Action::Close(1), poll(3, true, 5)]);
     assert_eq!(follower.followed().collect::<Vec<_>>(), [2, 3]);
     let actions = follower.handle(ZERO, answer(2, true, 5, false));
-    assert_eq!(actions, [ask(2, false, 5)]);
+    assert_eq!(actions, [poll(2, false, 5)]);
 }
 
 #[test]
@@ -99,39 +99,39 @@
     }
     assert_eq!(follower.followed().count(), 0);
     assert_eq!((follower.revision(), follower.confirmed()), (5, true));
-    assert_eq!(follower.wake(), Some(UPSTREAM_BACKOFF));
+    assert_eq!(follower.next_tick(), Some(UPSTREAM_BACKOFF));
     let actions = follower.handle(UPSTREAM_BACKOFF, Event::Tick);
-    assert_eq!(actions, [ask(1, false, 5), ask(2, true, 5)]);
+    assert_eq!(actions, [poll(1, false, 5), poll(2, true, 5)]);
 }
 
 #[test]
 fn tick_behind() {
     let mut follower = settled();
     let actions = follower.handle(ZERO, answer(2, true, 6, false));
-    assert_eq!(actions, [ask(2, true, 6)]);
-    assert_eq!(follower.wake(), Some(MAX_LAG));
+    assert_eq!(actions, [poll(2, true, 6)]);
+    assert_eq!(follower.next_tick(), Some(MAX_LAG));
     let actions = follower.handle(MAX_LAG, Event::Tick);
-    assert_eq!(actions, [ask(2, false, 5)]);
+    assert_eq!(actions, [poll(2, false, 5)]);
     let actions = follower.handle(MAX_LAG, answer(2, true, 6, true));
-    assert_eq!(actions, [Action::Take(6)]);
+    assert_eq!(actions, [Action::Apply(6)]);
     assert_eq!(follower.followed().collect::<Vec<_>>(), [2, 1]);
 }
 
 #[test]
 fn tick_unresponsive_upstream() {
     let mut follower = settled();
-    let early = ASK_TIMEOUT - Duration::from_millis(1);
+    let early = POLL_TIMEOUT - Duration::from_millis(1);
     assert_eq!(follower.handle(early, Event::Tick), []);
     follower.handle(early, answer(2, true, 5, false));
-    let actions = follower.handle(ASK_TIMEOUT, Event::Tick);
-    assert_eq!(actions, [Action::Close(1), ask(3, true, 5)]);
+    let actions = follower.handle(POLL_TIMEOUT, Event::Tick);
+    assert_eq!(actions, [Action::Close(1), poll(3, true, 5)]);
 }
 
 #[test]
 fn upstreams_changed() {
     let mut follower = settled();
     let actions = follower.handle(ZERO, Event::Upstreams(vec![4, 2]));
-    assert_eq!(actions, [Action::Close(1), ask(4, true, 5)]);
+    assert_eq!(actions, [Action::Close(1), poll(4, true, 5)]);
     assert_eq!(follower.followed().collect::<Vec<_>>(), [2, 4]);
 }
 
