--- a/crates/dispatch/benches/sim/endpoints.rs
+++ b/crates/dispatch/benches/sim/endpoints.rs
@@ -12,7 +12,10 @@
 };
 
 use super::{
-    ENTRIES, RUN_TIME, WARM_UP, WINDOW,
+    ENTRIES,
+    RUN_TIME,
+    WARM_UP,
+    WINDOW,
     plan::{
         serving,
         slowdown, //
@@ -21,7 +24,7 @@
     simulation::{
         Simulation,
         measured, //
-    },
+    }, //
 };
 
 /// Interval between an endpoint's reports.
--- a/crates/dispatch/benches/sim/mod.rs
+++ b/crates/dispatch/benches/sim/mod.rs
@@ -81,7 +81,7 @@
     ratios.iter().sum::<f64>() / ratios.len() as f64
 }
 
-/// Runs a case with one policy.
+/// Runs a case with one policy; with `exchange`, the entries report their loads to each other.
 pub fn run<P: Policy<Key = u32>>(
     deployment: &Deployment,
     case: &Case,
--- a/crates/dispatch/benches/sim/simulation.rs
+++ b/crates/dispatch/benches/sim/simulation.rs
@@ -105,7 +105,7 @@
             holder.set_ring(Duration::ZERO, ring.clone());
             (name(entry), holder)
         };
-        let mut world = Self {
+        let mut simulation = Self {
             busy_seconds: BTreeMap::new(),
             case,
             crashed: BTreeSet::new(),
@@ -132,8 +132,8 @@
             ticking: BTreeSet::new(),
             times: Histogram::new(3).unwrap(),
         };
-        world.schedule_start();
-        world
+        simulation.schedule_start();
+        simulation
     }
 
     pub fn run(mut self) -> RunResult {
@@ -271,10 +271,10 @@
 
     fn claim(&mut self, now: Duration, entry: u32, request: u64) -> Verdict {
         let claim = claim(entry, request);
-        let asked = self.ring.holders(&claim.key);
-        let mut tally = Tally::new(asked.len(), self.ring.quorum());
+        let holders = self.ring.holders(&claim.key);
+        let mut tally = Tally::new(holders.len(), self.ring.quorum());
         let mut verdict = None;
-        for member in asked {
+        for member in holders {
             let holder = self.holders.get_mut(&member.name);
             let reply = holder.map(|holder| holder.claim(now, claim.clone()));
             verdict = verdict.or(tally.reply(reply));
@@ -338,10 +338,10 @@
         self.crashed.insert(CRASHED_ENTRY);
         self.holders.remove(&name(CRASHED_ENTRY));
         let members: Vec<_> = self.ring.members().cloned().collect();
-        let left = members
+        let remaining = members
             .into_iter()
             .filter(|member| member.name != name(CRASHED_ENTRY));
-        self.ring = self.ring.with_members(left);
+        self.ring = self.ring.with_members(remaining);
         for holder in self.holders.values_mut() {
             holder.set_ring(now, self.ring.clone());
         }
--- a/crates/dispatch/benches/sim/single_queue.rs
+++ b/crates/dispatch/benches/sim/single_queue.rs
@@ -13,14 +13,22 @@
 use hdrhistogram::Histogram;
 
 use super::{
-    Case, DEADLINE, Deployment, ENDPOINTS, MEAN_WORK, RUN_TIME, RunResult, WARM_UP, WINDOW,
+    Case,
+    DEADLINE,
+    Deployment,
+    ENDPOINTS,
+    MEAN_WORK,
+    RUN_TIME,
+    RunResult,
+    WARM_UP,
+    WINDOW,
     imbalance,
     plan::{
         PlannedRequest,
         plan,
         serving,
         slowdown, //
-    },
+    }, //
 };
 
 /// Runs a single first-in, first-out queue. It sends each request to the endpoint with the most
--- a/crates/dispatch/src/action.rs
+++ b/crates/dispatch/src/action.rs
@@ -16,7 +16,7 @@
         /// The request.
         ticket: Ticket,
     },
-    /// Reject the request with this code; it did not run.
+    /// Refuse the request with this code; it did not run.
     Refuse {
         /// The reason.
         code: Code,
--- a/crates/dispatch/src/endpoint_state.rs
+++ b/crates/dispatch/src/endpoint_state.rs
@@ -23,8 +23,8 @@
 /// Time for which an endpoint that refused a request as full is not tried.
 const FULL_PAUSE: Duration = Duration::from_millis(10);
 
-/// Time for which an endpoint that refused a request as full ranks below those that did not, unless
-/// a request of this entry has freed a slot there.
+/// Time for which an endpoint that refused a request as full ranks below those that did not, except
+/// while a slot that a request of this entry freed is idle there.
 const SHED_PENALTY: Duration = Duration::from_secs(1);
 
 /// Time after which a peer's last reported count of requests expires.
@@ -42,7 +42,7 @@
     ejections: u32,
     failures: u32,
     full_until: Duration,
-    idle: u16,
+    idle_slots: u16,
     /// Moving average of its latency.
     pub latency: Option<Duration>,
     peers: BTreeMap<u32, (Duration, u16)>,
@@ -61,7 +61,7 @@
             ejections: 0,
             failures: 0,
             full_until: Duration::ZERO,
-            idle: 0,
+            idle_slots: 0,
             latency: None,
             peers: BTreeMap::new(),
             running: 0,
@@ -78,7 +78,7 @@
     /// Counts a request placed at the endpoint.
     pub const fn placed(&mut self) {
         self.running = self.running.saturating_add(1);
-        self.idle = self.idle.saturating_sub(1);
+        self.idle_slots = self.idle_slots.saturating_sub(1);
     }
 
     /// Counts a request placed at the endpoint as ended or cancelled.
@@ -91,17 +91,17 @@
         self.failures = 0;
         self.ejections = 0;
         self.full_until = Duration::ZERO;
-        self.idle = (self.idle + 1).min(self.candidate.slots);
+        self.idle_slots = (self.idle_slots + 1).min(self.candidate.slots);
         let latency = self.latency.unwrap_or(time);
-        let mixed = latency.mul_f64(1.0 - LATENCY_WEIGHT) + time.mul_f64(LATENCY_WEIGHT);
-        self.latency = Some(mixed);
+        let average = latency.mul_f64(1.0 - LATENCY_WEIGHT) + time.mul_f64(LATENCY_WEIGHT);
+        self.latency = Some(average);
     }
 
-    /// Records that the endpoint refused a request as full.
+    /// Records that the endpoint refused a request as full or could not be reached.
     pub fn shed(&mut self, now: Duration) {
         self.full_until = now + FULL_PAUSE;
         self.shed_until = now + SHED_PENALTY;
-        self.idle = 0;
+        self.idle_slots = 0;
     }
 
     /// Records a failure; returns whether the endpoint should be ejected.
@@ -119,7 +119,7 @@
     }
 
     /// Records how many requests a peer runs at the endpoint.
-    pub fn set_peer(&mut self, now: Duration, peer: u32, count: u16) {
+    pub fn set_peer_count(&mut self, now: Duration, peer: u32, count: u16) {
         match count {
             0 => self.peers.remove(&peer),
             _ => self.peers.insert(peer, (now, count)),
@@ -139,7 +139,7 @@
         limits: &Limits,
         median: Option<Duration>,
     ) -> EndpointView<K> {
-        let peers = self
+        let peer_running = self
             .peers
             .values()
             .filter(|(time, _)| now.saturating_sub(*time) < PEER_COUNT_TTL)
@@ -151,10 +151,10 @@
         };
         EndpointView {
             full: now < self.full_until,
-            idle: self.idle,
+            idle_slots: self.idle_slots,
             key: self.candidate.key,
-            peers,
-            recently_shed: self.idle == 0 && now < self.shed_until,
+            peer_running,
+            recently_shed: self.idle_slots == 0 && now < self.shed_until,
             reported: self.candidate.reported,
             running: self.running,
             slots: self.slow_start_slots(now, limits),
--- a/crates/dispatch/src/endpoint_view.rs
+++ b/crates/dispatch/src/endpoint_view.rs
@@ -6,12 +6,12 @@
     /// Whether it refused a request as full so recently that it must not be tried.
     pub full: bool,
     /// Slots that this entry's own requests freed and that it has not reused.
-    pub idle: u16,
+    pub idle_slots: u16,
     /// Key of the endpoint.
     pub key: K,
     /// Requests that other entries reported to run there.
-    pub peers: u16,
-    /// Whether it recently refused a request as full and no slot has been freed since.
+    pub peer_running: u16,
+    /// Whether it recently refused a request as full and `idle_slots` is 0.
     pub recently_shed: bool,
     /// Last reported load, as a share of its capacity.
     pub reported: f32,
--- a/crates/dispatch/src/holder.rs
+++ b/crates/dispatch/src/holder.rs
@@ -53,10 +53,10 @@
     claims: BTreeMap<KeyHash, Held>,
     expiry: BTreeSet<(Duration, KeyHash)>,
     name: Box<str>,
-    origin: Option<Duration>,
     retention: Duration,
     rings: Vec<(Duration, Ring)>,
     sources: BTreeSet<Box<str>>,
+    started: Option<Duration>,
 }
 
 impl Holder {
@@ -68,16 +68,16 @@
             claims: BTreeMap::new(),
             expiry: BTreeSet::new(),
             name: name.into(),
-            origin: Some(now),
             retention,
             rings: Vec::new(),
             sources: BTreeSet::new(),
+            started: Some(now),
         }
     }
 
     /// Records that no request ran before this holder was created, so that it missed no claim.
     pub const fn mark_complete(&mut self) {
-        self.origin = None;
+        self.started = None;
     }
 
     /// Sets how long later claims and their answers are retained.
@@ -85,7 +85,7 @@
         self.retention = retention;
     }
 
-    /// Sets the present members; returns whether they have changed.
+    /// Sets the ring of the present members; returns whether it has changed.
     pub fn set_ring(&mut self, now: Duration, ring: Ring) -> bool {
         if self.rings.last().is_some_and(|(_, last)| *last == ring) {
             return false;
@@ -94,7 +94,7 @@
         self.rings.push((now, ring));
         if self.rings.len() > MAX_RINGS {
             self.rings.remove(0);
-            self.origin = Some(now);
+            self.started = Some(now);
         }
         true
     }
@@ -136,7 +136,7 @@
         let transferred = |name: &str| name == &*self.name || self.sources.contains(name);
         if last.members().all(|member| transferred(&member.name)) {
             self.rings = vec![(*since, last.clone())];
-            self.origin = None;
+            self.started = None;
         }
     }
 
@@ -235,14 +235,15 @@
         held || transferred
     }
 
-    /// Whether the process started so recently that it may have missed claims.
+    /// Whether this holder counts as started so recently that it may have missed claims.
     fn recently_started(&self, now: Duration) -> bool {
         let window = self.retention + CONVERGENCE;
-        self.origin
-            .is_some_and(|origin| now.saturating_sub(origin) < window)
+        self.started
+            .is_some_and(|started| now.saturating_sub(started) < window)
     }
 
-    /// The rings that were in use within the retention time, the last one included.
+    /// The rings that were in use within the retention time and [`CONVERGENCE`], the last one
+    /// included.
     fn recent_rings(&self, now: Duration) -> impl Iterator<Item = &Ring> {
         let window = self.retention + CONVERGENCE;
         let ends = self.rings.iter().skip(1).map(|(since, _)| *since);
@@ -253,7 +254,8 @@
             .map(|((_, ring), _)| ring)
     }
 
-    /// Removes claims and rings that are older than the retention time.
+    /// Removes the claims that have expired, and the rings that were replaced longer ago than the
+    /// retention time and [`CONVERGENCE`].
     fn expire(&mut self, now: Duration) {
         while let Some((until, key)) = self.expiry.first().cloned()
             && until <= now
--- a/crates/dispatch/src/least_requests.rs
+++ b/crates/dispatch/src/least_requests.rs
@@ -64,7 +64,7 @@
             .iter()
             .filter(|view| !view.full && view.running < view.slots)
             .map(|view| {
-                let busy = view.running.saturating_add(view.peers);
+                let busy = view.running.saturating_add(view.peer_running);
                 let rank = Rank {
                     load: f32::from(busy) / f32::from(view.slots.max(1)),
                     recently_shed: view.recently_shed,
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -104,7 +104,8 @@
         actions
     }
 
-    /// Changes the limits; running and waiting requests are not affected.
+    /// Sets the limits. Running requests are not affected; waiting ones that exceed the new limits
+    /// are refused at the next event.
     pub const fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
@@ -184,7 +185,7 @@
                 if let Some(endpoint) = self.endpoints.get_mut(&placed.key) {
                     endpoint.shed(now);
                 }
-                // A refusal is an answer; only unreachable endpoints count as attempts.
+                // Only unreachable endpoints count as attempts; a full one was reached.
                 placed.arrival.attempts -= 1;
                 true
             }
@@ -237,7 +238,7 @@
         self.policy.record_demand(Some(peer), running + waiting);
         for (key, endpoint) in &mut self.endpoints {
             let count = counts.iter().find(|(other, _)| other == key);
-            endpoint.set_peer(
+            endpoint.set_peer_count(
                 now,
                 peer,
                 count.map(|(_, count)| *count).unwrap_or_default(),
@@ -281,7 +282,7 @@
             let mut views = self.views(now);
             let no_probe = self.shed.contains(&ticket) && !self.probes.available();
             if no_probe {
-                views.retain(|view| view.idle > 0);
+                views.retain(|view| view.idle_slots > 0);
             }
             let Some(key) = self.policy.choose(&views) else {
                 return;
--- a/crates/dispatch/tests/claims.rs
+++ b/crates/dispatch/tests/claims.rs
@@ -71,10 +71,10 @@
     holders: &mut BTreeMap<Box<str>, Holder>,
     claim: &Claim,
 ) -> Verdict {
-    let asked = ring.holders(&claim.key);
-    let mut tally = Tally::new(asked.len(), ring.quorum());
+    let members = ring.holders(&claim.key);
+    let mut tally = Tally::new(members.len(), ring.quorum());
     let mut verdict = tally.final_verdict();
-    for member in asked {
+    for member in members {
         let reply = holders
             .get_mut(&member.name)
             .map(|holder| holder.claim(now, claim.clone()));
--- a/crates/distribution/benches/config/report.rs
+++ b/crates/distribution/benches/config/report.rs
@@ -67,12 +67,12 @@
     let (before, after) = times.split_at(times.len() / 2);
     for (times, when) in [(before, "no deaths"), (after, "deaths")] {
         let case = format!("{}, {when}; target 5 s", case.name);
-        Figure::new("config.in_force_last", &case, last(times), "s").print();
+        Figure::new("config.in_force_last", &case, longest(times), "s").print();
     }
 }
 
 /// The longest time in seconds; infinite if a change is not in force at all nodes.
-fn last(times: &[Option<Duration>]) -> f64 {
+fn longest(times: &[Option<Duration>]) -> f64 {
     times
         .iter()
         .map(|time| time.map_or(f64::INFINITY, |time| time.as_secs_f64()))
--- a/crates/distribution/src/follower.rs
+++ b/crates/distribution/src/follower.rs
@@ -5,7 +5,8 @@
     time::Duration, //
 };
 
-/// Longest time for which the first upstream may be behind the second.
+/// Time for which a follower may be behind its upstreams before the one with the latest revision
+/// becomes the first.
 pub const MAX_LAG: Duration = Duration::from_millis(250);
 
 /// Most upstreams that are followed at the same time.
--- a/crates/distribution/src/poll_queue.rs
+++ b/crates/distribution/src/poll_queue.rs
@@ -23,7 +23,7 @@
 /// The pending polls, which wait for a later revision, in order of arrival.
 #[derive(Clone, Debug)]
 pub struct PollQueue<K> {
-    lowest: u64,
+    min_revision: u64,
     pending: VecDeque<PendingPoll<K>>,
 }
 
@@ -37,14 +37,14 @@
     /// Creates a queue without pending polls.
     pub const fn new() -> Self {
         Self {
-            lowest: u64::MAX,
+            min_revision: u64::MAX,
             pending: VecDeque::new(),
         }
     }
 
     /// Adds a poll that arrived at `now`.
     pub fn push(&mut self, now: Duration, from: K, poll: Poll) {
-        self.lowest = self.lowest.min(poll.revision);
+        self.min_revision = self.min_revision.min(poll.revision);
         self.pending.push_back(PendingPoll {
             from,
             poll,
@@ -63,7 +63,7 @@
         while let Some(pending) = self.pending.pop_front_if(|pending| pending.until <= now) {
             ready.push(pending);
         }
-        if revision > self.lowest {
+        if revision > self.min_revision {
             let (satisfied, waiting): (VecDeque<_>, VecDeque<_>) = self
                 .pending
                 .drain(..)
@@ -71,7 +71,7 @@
             ready.extend(satisfied);
             self.pending = waiting;
             let revisions = self.pending.iter().map(|pending| pending.poll.revision);
-            self.lowest = revisions.min().unwrap_or(u64::MAX);
+            self.min_revision = revisions.min().unwrap_or(u64::MAX);
         }
         ready
             .into_iter()
--- a/crates/distribution/src/tree.rs
+++ b/crates/distribution/src/tree.rs
@@ -48,7 +48,7 @@
     children: Vec<Child>,
     degree: usize,
     depth: Option<u32>,
-    interval: Duration,
+    heartbeat_interval: Duration,
     key: NodeKey,
     last_seen: Duration,
     next_contact: Duration,
@@ -70,7 +70,7 @@
             children: Vec::new(),
             degree,
             depth: root.then_some(0),
-            interval: HEARTBEAT_INTERVAL,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             key,
             last_seen: Duration::ZERO,
             next_contact: Duration::ZERO,
@@ -86,7 +86,7 @@
 
     /// Sets the interval between heartbeats on a link.
     pub const fn with_heartbeat(mut self, interval: Duration) -> Self {
-        self.interval = interval;
+        self.heartbeat_interval = interval;
         self
     }
 
@@ -312,7 +312,7 @@
     }
 
     fn wake(&mut self, now: Duration, out: &mut Actions) {
-        let timeout = self.interval * MAX_MISSED;
+        let timeout = self.heartbeat_interval * MAX_MISSED;
         self.children
             .retain(|child| child.last_seen + timeout > now);
         if self.parent.is_some() && self.last_seen + timeout <= now {
@@ -320,7 +320,7 @@
             self.set_depth(None, out);
         }
         if self.next_heartbeat <= now {
-            self.next_heartbeat = now + self.interval;
+            self.next_heartbeat = now + self.heartbeat_interval;
             if let Some(parent) = self.parent {
                 send(out, parent, Message::Heartbeat(self.revision));
             }
@@ -353,7 +353,10 @@
                 self.send_deltas(&mut out);
             }
             Event::Start => {
-                self.next_heartbeat = now + self.rng.random_range(Duration::ZERO..self.interval);
+                self.next_heartbeat = now
+                    + self
+                        .rng
+                        .random_range(Duration::ZERO..self.heartbeat_interval);
                 self.next_contact = now + self.rng.random_range(Duration::ZERO..CONTACT_INTERVAL);
                 out.push(Action::Wake(self.next_heartbeat.min(self.next_contact)));
             }
--- a/crates/distribution/tests/follower.rs
+++ b/crates/distribution/tests/follower.rs
@@ -47,7 +47,7 @@
 }
 
 /// A follower of the upstreams 1, 2 and 3 that has applied revision 5 from the first.
-fn settled() -> Follower<u32> {
+fn up_to_date() -> Follower<u32> {
     let mut follower = Follower::new();
     let actions = follower.handle(ZERO, Event::Upstreams(vec![1, 2, 3]));
     assert_eq!(actions, [first_poll(1, false), first_poll(2, true)]);
@@ -61,7 +61,7 @@
 
 #[test]
 fn answer_older_revision() {
-    let mut follower = settled();
+    let mut follower = up_to_date();
     let actions = follower.handle(ZERO, answer(1, true, 4, true));
     assert_eq!(actions, [poll(1, false, 5)]);
     assert_eq!(follower.revision(), 5);
@@ -83,7 +83,7 @@
 
 #[test]
 fn answer_unconfirmed_upstream() {
-    let mut follower = settled();
+    let mut follower = up_to_date();
     let actions = follower.handle(ZERO, answer(1, false, 5, false));
     assert_eq!(actions, [Action::Close(1), poll(3, true, 5)]);
     assert_eq!(follower.followed().collect::<Vec<_>>(), [2, 3]);
@@ -93,7 +93,7 @@
 
 #[test]
 fn lost_every_upstream() {
-    let mut follower = settled();
+    let mut follower = up_to_date();
     for key in [1, 2, 3] {
         follower.handle(ZERO, Event::Lost(key));
     }
@@ -106,7 +106,7 @@
 
 #[test]
 fn tick_behind() {
-    let mut follower = settled();
+    let mut follower = up_to_date();
     let actions = follower.handle(ZERO, answer(2, true, 6, false));
     assert_eq!(actions, [poll(2, true, 6)]);
     assert_eq!(follower.next_tick(), Some(MAX_LAG));
@@ -119,7 +119,7 @@
 
 #[test]
 fn tick_unresponsive_upstream() {
-    let mut follower = settled();
+    let mut follower = up_to_date();
     let early = POLL_TIMEOUT - Duration::from_millis(1);
     assert_eq!(follower.handle(early, Event::Tick), []);
     follower.handle(early, answer(2, true, 5, false));
@@ -129,7 +129,7 @@
 
 #[test]
 fn upstreams_changed() {
-    let mut follower = settled();
+    let mut follower = up_to_date();
     let actions = follower.handle(ZERO, Event::Upstreams(vec![4, 2]));
     assert_eq!(actions, [Action::Close(1), poll(4, true, 5)]);
     assert_eq!(follower.followed().collect::<Vec<_>>(), [2, 4]);
@@ -140,7 +140,7 @@
     bolero::check!()
         .with_type::<Vec<(u8, u8, bool, bool, u8)>>()
         .for_each(|steps| {
-            let mut follower = settled();
+            let mut follower = up_to_date();
             let mut now = ZERO;
             let mut revision = follower.revision();
             for (kind, key, confirmed, update, number) in steps {
