--- a/crates/dispatch/src/holder.rs
+++ b/crates/dispatch/src/holder.rs
@@ -12,11 +12,11 @@
 use crate::{
     claim::{
         Claim,
+        ClaimEnd,
         ClaimId,
         KeyHash,
         Record,
-        Reply,
-        Settled, //
+        Reply, //
     },
     ring::Ring, //
 };
@@ -37,8 +37,8 @@
 #[derive(Clone, Debug)]
 struct Held {
     claim: Claim,
+    end: Option<ClaimEnd>,
     made: Duration,
-    settled: Option<Settled>,
     until: Duration,
 }
 
@@ -53,10 +53,10 @@
     claims: BTreeMap<KeyHash, Held>,
     expiry: BTreeSet<(Duration, KeyHash)>,
     name: Box<str>,
-    origin: Option<Duration>,
     retention: Duration,
     rings: Vec<(Duration, Ring)>,
     sources: BTreeSet<Box<str>>,
+    started: Option<Duration>,
 }
 
 impl Holder {
@@ -68,25 +68,25 @@
             claims: BTreeMap::new(),
             expiry: BTreeSet::new(),
             name: name.into(),
-            origin: Some(now),
             retention,
             rings: Vec::new(),
             sources: BTreeSet::new(),
+            started: Some(now),
         }
     }
 
     /// Records that no request ran before this holder was created, so that it missed no claim.
-    pub const fn first(&mut self) {
-        self.origin = None;
+    pub const fn mark_complete(&mut self) {
+        self.started = None;
     }
 
     /// Sets how long later claims and their answers are retained.
-    pub const fn retain(&mut self, retention: Duration) {
+    pub const fn set_retention(&mut self, retention: Duration) {
         self.retention = retention;
     }
 
-    /// Sets the present members; returns whether they have changed.
-    pub fn view(&mut self, now: Duration, ring: Ring) -> bool {
+    /// Sets the ring of the present members; returns whether it has changed.
+    pub fn set_ring(&mut self, now: Duration, ring: Ring) -> bool {
         if self.rings.last().is_some_and(|(_, last)| *last == ring) {
             return false;
         }
@@ -94,21 +94,21 @@
         self.rings.push((now, ring));
         if self.rings.len() > MAX_RINGS {
             self.rings.remove(0);
-            self.origin = Some(now);
+            self.started = Some(now);
         }
         true
     }
 
     /// Whether claims should be transferred from other holders now: the membership has been stable
     /// for long enough, and this holder may lack claims.
-    pub fn wants(&self, now: Duration) -> bool {
+    pub fn needs_transfer(&self, now: Duration) -> bool {
         let since = self.rings.last().map(|(since, _)| *since);
         let stable = since.is_some_and(|since| now.saturating_sub(since) >= CONVERGENCE);
-        stable && !self.settled(now)
+        stable && !self.is_complete(now)
     }
 
     /// Whether this holder has all claims on all its keys.
-    pub fn settled(&self, now: Duration) -> bool {
+    pub fn is_complete(&self, now: Duration) -> bool {
         let Some((_, last)) = self.rings.last() else {
             return false;
         };
@@ -122,11 +122,11 @@
     }
 
     /// Adds the claims of another holder that has all claims on its keys.
-    pub fn take(&mut self, now: Duration, source: &str, records: Vec<Record>) {
+    pub fn import(&mut self, now: Duration, source: &str, records: Vec<Record>) {
         for record in records {
             let made = now.saturating_sub(Duration::from_millis(record.age));
             if !self.claims.contains_key(&record.claim.key) && self.claims.len() < MAX_CLAIMS {
-                self.insert(record.claim, made, record.settled);
+                self.insert(record.claim, made, record.end);
             }
         }
         self.sources.insert(source.into());
@@ -136,21 +136,21 @@
         let transferred = |name: &str| name == &*self.name || self.sources.contains(name);
         if last.members().all(|member| transferred(&member.name)) {
             self.rings = vec![(*since, last.clone())];
-            self.origin = None;
+            self.started = None;
         }
     }
 
     /// All claims, for a new holder; none if this holder may lack claims on its keys.
-    pub fn records(&self, now: Duration) -> Option<Vec<Record>> {
+    pub fn export(&self, now: Duration) -> Option<Vec<Record>> {
         let record = |held: &Held| Record {
             age: u64::try_from(now.saturating_sub(held.made).as_millis()).unwrap_or(u64::MAX),
             claim: held.claim.clone(),
-            settled: held.settled.as_ref().map(|settled| match settled {
-                Settled::Answered(_) => Settled::Answered(None),
-                Settled::NotRun | Settled::Unknown => Settled::Unknown,
+            end: held.end.as_ref().map(|end| match end {
+                ClaimEnd::Answered(_) => ClaimEnd::Answered(None),
+                ClaimEnd::NotRun | ClaimEnd::Unknown => ClaimEnd::Unknown,
             }),
         };
-        self.settled(now)
+        self.is_complete(now)
             .then(|| self.claims.values().map(record).collect())
     }
 
@@ -159,10 +159,10 @@
         self.expire(now);
         let complete = self.has_all_claims(now, &claim.key);
         match self.claims.get(&claim.key) {
-            Some(held) if held.claim.print != claim.print => Reply::Mismatch,
-            Some(held) => match &held.settled {
-                Some(Settled::Answered(answer)) => Reply::Answered(answer.clone()),
-                Some(Settled::NotRun | Settled::Unknown) => Reply::Unknown,
+            Some(held) if held.claim.fingerprint != claim.fingerprint => Reply::Mismatch,
+            Some(held) => match &held.end {
+                Some(ClaimEnd::Answered(answer)) => Reply::Answered(answer.clone()),
+                Some(ClaimEnd::NotRun | ClaimEnd::Unknown) => Reply::Unknown,
                 None if held.claim.id == claim.id && complete => Reply::Granted,
                 None if held.claim.id == claim.id => Reply::Unknown,
                 None => Reply::Held(held.claim.id.clone()),
@@ -180,28 +180,26 @@
     }
 
     /// Records how the request of a claim ended.
-    pub fn settle(&mut self, key: &KeyHash, id: &ClaimId, settled: Settled) {
+    pub fn settle(&mut self, key: &KeyHash, id: &ClaimId, end: ClaimEnd) {
         let Some(held) = self.claims.get_mut(key) else {
             return;
         };
         if held.claim.id != *id {
             return;
         }
-        let settled = match settled {
-            Settled::NotRun => {
+        let end = match end {
+            ClaimEnd::NotRun => {
                 self.remove(key);
                 return;
             }
-            Settled::Answered(Some(answer)) if self.bytes + answer.len() > MAX_ANSWER_BYTES => {
-                Settled::Answered(None)
+            ClaimEnd::Answered(Some(answer)) if self.bytes + answer.len() > MAX_ANSWER_BYTES => {
+                ClaimEnd::Answered(None)
             }
-            Settled::Answered(_) | Settled::Unknown => settled,
+            ClaimEnd::Answered(_) | ClaimEnd::Unknown => end,
         };
-        self.bytes = self
-            .bytes
-            .saturating_sub(answer_bytes(held.settled.as_ref()))
-            + answer_bytes(Some(&settled));
-        held.settled = Some(settled);
+        self.bytes =
+            self.bytes.saturating_sub(answer_bytes(held.end.as_ref())) + answer_bytes(Some(&end));
+        held.end = Some(end);
     }
 
     /// Number of stored claims.
@@ -237,14 +235,15 @@
         held || transferred
     }
 
-    /// Whether the process started so recently that it may have missed claims.
+    /// Whether this holder counts as started so recently that it may have missed claims.
     fn recently_started(&self, now: Duration) -> bool {
         let window = self.retention + CONVERGENCE;
-        self.origin
-            .is_some_and(|origin| now.saturating_sub(origin) < window)
+        self.started
+            .is_some_and(|started| now.saturating_sub(started) < window)
     }
 
-    /// The rings that were in use within the retention time, the last one included.
+    /// The rings that were in use within the retention time and [`CONVERGENCE`], the last one
+    /// included.
     fn recent_rings(&self, now: Duration) -> impl Iterator<Item = &Ring> {
         let window = self.retention + CONVERGENCE;
         let ends = self.rings.iter().skip(1).map(|(since, _)| *since);
@@ -255,7 +254,8 @@
             .map(|((_, ring), _)| ring)
     }
 
-    /// Removes claims and rings that are older than the retention time.
+    /// Removes the claims that have expired, and the rings that were replaced longer ago than the
+    /// retention time and [`CONVERGENCE`].
     fn expire(&mut self, now: Duration) {
         while let Some((until, key)) = self.expiry.first().cloned()
             && until <= now
@@ -270,14 +270,14 @@
         }
     }
 
-    fn insert(&mut self, claim: Claim, made: Duration, settled: Option<Settled>) {
+    fn insert(&mut self, claim: Claim, made: Duration, end: Option<ClaimEnd>) {
         let key = claim.key.clone();
         let until = made + self.retention;
         self.expiry.insert((until, key.clone()));
         let held = Held {
             claim,
+            end,
             made,
-            settled,
             until,
         };
         self.claims.insert(key, held);
@@ -285,19 +285,17 @@
 
     fn remove(&mut self, key: &KeyHash) {
         if let Some(held) = self.claims.remove(key) {
-            self.bytes = self
-                .bytes
-                .saturating_sub(answer_bytes(held.settled.as_ref()));
+            self.bytes = self.bytes.saturating_sub(answer_bytes(held.end.as_ref()));
             self.expiry.remove(&(held.until, key.clone()));
         }
     }
 }
 
 /// Size of a stored answer in bytes.
-fn answer_bytes(settled: Option<&Settled>) -> usize {
-    let answer: Option<&Rc<[u8]>> = match settled {
-        Some(Settled::Answered(Some(answer))) => Some(answer),
-        Some(Settled::Answered(None) | Settled::NotRun | Settled::Unknown) | None => None,
+fn answer_bytes(end: Option<&ClaimEnd>) -> usize {
+    let answer: Option<&Rc<[u8]>> = match end {
+        Some(ClaimEnd::Answered(Some(answer))) => Some(answer),
+        Some(ClaimEnd::Answered(None) | ClaimEnd::NotRun | ClaimEnd::Unknown) | None => None,
     };
     answer.map(|answer| answer.len()).unwrap_or_default()
 }
--- a/crates/distribution/src/poll_queue.rs
+++ b/crates/distribution/src/poll_queue.rs
@@ -7,23 +7,23 @@
 
 use crate::follower::{
     Answer,
-    Ask, //
+    Poll, //
 };
 
 /// Time after which a long poll is answered even if there is no later revision.
-pub const WAIT: Duration = Duration::from_secs(2);
+pub const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug)]
 struct PendingPoll<K> {
-    ask: Ask,
     from: K,
+    poll: Poll,
     until: Duration,
 }
 
 /// The pending polls, which wait for a later revision, in order of arrival.
 #[derive(Clone, Debug)]
 pub struct PollQueue<K> {
-    lowest: u64,
+    min_revision: u64,
     pending: VecDeque<PendingPoll<K>>,
 }
 
@@ -37,18 +37,18 @@
     /// Creates a queue without pending polls.
     pub const fn new() -> Self {
         Self {
-            lowest: u64::MAX,
+            min_revision: u64::MAX,
             pending: VecDeque::new(),
         }
     }
 
     /// Adds a poll that arrived at `now`.
-    pub fn push(&mut self, now: Duration, from: K, ask: Ask) {
-        self.lowest = self.lowest.min(ask.revision);
+    pub fn push(&mut self, now: Duration, from: K, poll: Poll) {
+        self.min_revision = self.min_revision.min(poll.revision);
         self.pending.push_back(PendingPoll {
-            ask,
             from,
-            until: now + WAIT,
+            poll,
+            until: now + LONG_POLL_TIMEOUT,
         });
     }
 
@@ -58,20 +58,20 @@
         now: Duration,
         revision: u64,
         confirmed: bool,
-    ) -> Vec<(K, Ask, Answer)> {
+    ) -> Vec<(K, Poll, Answer)> {
         let mut ready = Vec::new();
         while let Some(pending) = self.pending.pop_front_if(|pending| pending.until <= now) {
             ready.push(pending);
         }
-        if revision > self.lowest {
+        if revision > self.min_revision {
             let (satisfied, waiting): (VecDeque<_>, VecDeque<_>) = self
                 .pending
                 .drain(..)
-                .partition(|pending| revision > pending.ask.revision);
+                .partition(|pending| revision > pending.poll.revision);
             ready.extend(satisfied);
             self.pending = waiting;
-            let revisions = self.pending.iter().map(|pending| pending.ask.revision);
-            self.lowest = revisions.min().unwrap_or(u64::MAX);
+            let revisions = self.pending.iter().map(|pending| pending.poll.revision);
+            self.min_revision = revisions.min().unwrap_or(u64::MAX);
         }
         ready
             .into_iter()
@@ -79,9 +79,9 @@
                 let answer = Answer {
                     confirmed,
                     revision,
-                    update: !pending.ask.brief && revision > pending.ask.revision,
+                    update: !pending.poll.brief && revision > pending.poll.revision,
                 };
-                (pending.from, pending.ask, answer)
+                (pending.from, pending.poll, answer)
             })
             .collect()
     }
