--- a/crates/daemon/src/candidates.rs
+++ b/crates/daemon/src/candidates.rs
@@ -21,7 +21,9 @@
     let now = view.now();
     let candidates = directory
         .by_service(&service.name)
-        .filter(|(key, endpoint)| directory.takes(now, *key) && service.allows(&endpoint.name))
+        .filter(|(key, endpoint)| {
+            directory.accepts_work(now, *key) && service.allows(&endpoint.name)
+        })
         .map(|(key, endpoint)| Candidate {
             key,
             reported: endpoint.load,
--- a/crates/daemon/src/convert.rs
+++ b/crates/daemon/src/convert.rs
@@ -69,8 +69,8 @@
 }
 
 /// Converts flow copies from another entry from the wire.
-pub fn copies_from_wire(from: &[wire::CopiedFlows]) -> Vec<steering::Copied> {
-    let copy = |group: &wire::CopiedFlows, flow: &[u8; 8]| steering::Copied {
+pub fn copies_from_wire(from: &[wire::CopiedFlows]) -> Vec<steering::FlowCopy> {
+    let copy = |group: &wire::CopiedFlows, flow: &[u8; 8]| steering::FlowCopy {
         endpoint: steering::EndpointId(u64::from_le_bytes(group.endpoint)),
         flow: steering::FlowId(u64::from_le_bytes(*flow)),
         service: steering::ServiceId(u64::from_le_bytes(group.service)),
@@ -81,7 +81,7 @@
 }
 
 /// Converts flow copies for another entry to the wire, grouped by endpoint.
-pub fn copies_to_wire(from: &[steering::Copied]) -> Vec<wire::CopiedFlows> {
+pub fn copies_to_wire(from: &[steering::FlowCopy]) -> Vec<wire::CopiedFlows> {
     let mut groups: BTreeMap<_, wire::CopiedFlows> = BTreeMap::new();
     for copy in from {
         let group = groups.entry(copy.endpoint).or_default();
--- a/crates/daemon/src/convert_endpoint.rs
+++ b/crates/daemon/src/convert_endpoint.rs
@@ -89,16 +89,16 @@
 fn report_from_wire(from: wire::Report) -> Report {
     Report::new(endpoint_from_wire(from.announcement))
         .with_age(Duration::from_millis(from.age))
-        .with_bound(Duration::from_millis(from.bound))
-        .with_warm(Duration::from_millis(from.warm))
+        .with_bound_for(Duration::from_millis(from.bound))
+        .with_ready_for(Duration::from_millis(from.warm))
 }
 
 fn report_to_wire(from: &Report) -> wire::Report {
     wire::Report {
         age: millis(from.age).saturating_add(1),
         announcement: endpoint_to_wire(&from.endpoint),
-        bound: millis(from.bound),
-        warm: millis(from.warm),
+        bound: millis(from.bound_for),
+        warm: millis(from.ready_for),
     }
 }
 
--- a/crates/daemon/src/fabric.rs
+++ b/crates/daemon/src/fabric.rs
@@ -116,7 +116,7 @@
     match FlowDatagram::decode(datagram).map_err(|error| error.code())? {
         FlowDatagram::Copies(copies) => {
             let copies = convert::copies_from_wire(&copies);
-            router.steering.copied(node.now(), entry, &copies);
+            router.steering.receive_copies(node.now(), entry, &copies);
             Ok(None)
         }
         FlowDatagram::Handover(handover, packet) => {
@@ -148,7 +148,7 @@
             let address = address.ok_or(Code::FlowEndpointGone)?;
             Ok(Some(Outgoing::Received(address, origin.offset)))
         }
-        Action::Pass(to, header) => encode_handover(node, to, header, packet, origin, scratch),
+        Action::HandOver(to, header) => encode_handover(node, to, header, packet, origin, scratch),
         Action::Refuse(code) => {
             node.metrics.count_refusal(code);
             let inner = packet.get(GRE_BYTES..).unwrap_or_default();
--- a/crates/daemon/src/flow_maintenance.rs
+++ b/crates/daemon/src/flow_maintenance.rs
@@ -11,7 +11,7 @@
     net::UdpSocket, //
 };
 use steering::{
-    Copied,
+    FlowCopy,
     InstanceId,
     Steer, //
 };
@@ -51,11 +51,11 @@
     let start = node.now();
     let flows = node.router.borrow().steering.len();
     node.router.borrow_mut().steering.leave(start);
-    while !node.router.borrow().steering.left() && node.now() < start + HANDOVER_TIMEOUT {
+    while !node.router.borrow().steering.handed_off() && node.now() < start + HANDOVER_TIMEOUT {
         tick(node, socket, last).await;
         compio::time::sleep(TICK).await;
     }
-    let complete = node.router.borrow().steering.left();
+    let complete = node.router.borrow().steering.handed_off();
     log::info!(flows = flows, complete = complete; "flows handed over");
 }
 
@@ -84,8 +84,8 @@
     send_copies(node, socket, copies).await;
 }
 
-async fn send_copies(node: &Node, socket: &UdpSocket, copies: Vec<(InstanceId, Copied)>) {
-    let mut batches: BTreeMap<InstanceId, Vec<Copied>> = BTreeMap::new();
+async fn send_copies(node: &Node, socket: &UdpSocket, copies: Vec<(InstanceId, FlowCopy)>) {
+    let mut batches: BTreeMap<InstanceId, Vec<FlowCopy>> = BTreeMap::new();
     for (to, copy) in copies {
         batches.entry(to).or_default().push(copy);
     }
--- a/crates/daemon/src/router.rs
+++ b/crates/daemon/src/router.rs
@@ -12,13 +12,13 @@
 use settings::Instance;
 use steering::{
     Action,
-    Arrival,
     Endpoint,
     EndpointId,
     FlowId,
+    FlowPacket,
     Header,
     InstanceId,
-    Owners,
+    OwnerSteering,
     Packet,
     Payload,
     Peer,
@@ -46,7 +46,7 @@
     entry_addresses: HashMap<InstanceId, SocketAddr>,
     view: Rc<LocalView>,
     /// The state machine that decides on packets.
-    pub steering: Owners,
+    pub steering: OwnerSteering,
     /// Document revision and directory generation that the tables were built from.
     built_from: (u64, u64),
     /// Which entries are reachable.
@@ -69,7 +69,7 @@
             entries: HashMap::new(),
             entry_addresses: HashMap::new(),
             view,
-            steering: Owners::new(Duration::ZERO, own, MAX_FLOWS, rand::random()),
+            steering: OwnerSteering::new(Duration::ZERO, own, MAX_FLOWS, rand::random()),
             built_from: (0, 0),
             reachability: Reachability::default(),
             services: HashMap::new(),
@@ -93,9 +93,9 @@
         if self.built_from != self.current_inputs() {
             self.refresh();
         }
-        let arrival = self.parse_arrival(datagram)?;
-        let action = self.steering.packet(self.view.now(), &arrival);
-        if let Action::Pass(to, header) = action
+        let flow_packet = self.parse_flow_packet(datagram)?;
+        let action = self.steering.handle_packet(self.view.now(), &flow_packet);
+        if let Action::HandOver(to, header) = action
             && header.returns
         {
             self.reachability.record_sent(self.view.now(), to);
@@ -117,10 +117,10 @@
         if self.built_from != self.current_inputs() {
             self.refresh();
         }
-        let arrival = self.parse_arrival(datagram)?;
+        let flow_packet = self.parse_flow_packet(datagram)?;
         Ok(self
             .steering
-            .handed(self.view.now(), from, &arrival, header))
+            .handle_handover(self.view.now(), from, &flow_packet, header))
     }
 
     /// Returns the entry at an address, and records that a datagram was received from it.
@@ -147,11 +147,11 @@
         (revision, self.view.directory.borrow().generation())
     }
 
-    fn parse_arrival(&self, datagram: &[u8]) -> Result<Arrival, Code> {
+    fn parse_flow_packet(&self, datagram: &[u8]) -> Result<FlowPacket, Code> {
         let payload = Payload::new(datagram).map_err(steering::Error::code)?;
         let packet = Packet::parse(payload.0).map_err(steering::Error::code)?;
         let service = self.services.get(&packet.flow.destination);
-        Ok(Arrival {
+        Ok(FlowPacket {
             flow: FlowId::new(&packet.flow),
             phase: packet.phase,
             service: service.copied().ok_or(Code::PacketAddress)?,
@@ -186,7 +186,7 @@
                         .is_reachable(now, InstanceId::new(&member.instance.name)),
             })
             .collect();
-        self.steering.peers(now, &peers);
+        self.steering.set_peers(now, &peers);
     }
 
     fn refresh_endpoints(&mut self, now: Duration) {
@@ -220,7 +220,7 @@
                 });
             }
         }
-        self.steering.endpoints(now, &endpoints);
+        self.steering.set_endpoints(now, &endpoints);
     }
 }
 
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -136,7 +136,7 @@
         let service = service_entry(&mut services, endpoint);
         match endpoint.state {
             State::Draining => service.draining += 1,
-            State::Ready if directory.takes(now, key) => service.ready += 1,
+            State::Ready if directory.accepts_work(now, key) => service.ready += 1,
             State::Ready => service.stale += 1,
             State::Starting => service.starting += 1,
         }
--- a/crates/directory/src/binding.rs
+++ b/crates/directory/src/binding.rs
@@ -52,7 +52,7 @@
     /// Creates a waiting binding.
     pub fn new(now: Duration, report: Report) -> Self {
         let mut binding = Self {
-            bound_at: now.saturating_sub(report.bound),
+            bound_at: now.saturating_sub(report.bound_for),
             confirmed_at: Duration::ZERO,
             endpoint: report.endpoint.clone(),
             phase: Phase::Waiting,
@@ -71,7 +71,7 @@
         }
         self.confirmed_at = self.confirmed_at.max(now.saturating_sub(report.age));
         self.merge(now, &report);
-        let ready_at = now.saturating_sub(report.warm);
+        let ready_at = now.saturating_sub(report.ready_for);
         self.ready_at = match (report.endpoint.state, self.ready_at) {
             (State::Ready, Some(known)) => Some(known.min(ready_at)),
             (State::Ready, None) => Some(ready_at),
@@ -82,7 +82,7 @@
 
     /// Extends the time for which the endpoint has held its address, as known to another instance.
     pub fn merge(&mut self, now: Duration, report: &Report) {
-        self.bound_at = self.bound_at.min(now.saturating_sub(report.bound));
+        self.bound_at = self.bound_at.min(now.saturating_sub(report.bound_for));
     }
 
     /// Adds the time for which an earlier incarnation held the same address.
@@ -140,7 +140,7 @@
         let ready_for = self.ready_at.map(|ready_at| now.saturating_sub(ready_at));
         Report::new(self.endpoint.clone())
             .with_age(self.age(now))
-            .with_bound(now.saturating_sub(self.bound_at))
-            .with_warm(ready_for.unwrap_or_default())
+            .with_bound_for(now.saturating_sub(self.bound_at))
+            .with_ready_for(ready_for.unwrap_or_default())
     }
 }
--- a/crates/directory/src/directory.rs
+++ b/crates/directory/src/directory.rs
@@ -163,7 +163,7 @@
     /// and is the only holder of its address.
     ///
     /// [`FRESHNESS`]: crate::FRESHNESS
-    pub fn takes(&self, now: Duration, key: EndpointKey) -> bool {
+    pub fn accepts_work(&self, now: Duration, key: EndpointKey) -> bool {
         self.bindings
             .get(key)
             .is_some_and(|binding| binding.accepts_work(now + CLOCK_OFFSET))
--- a/crates/directory/src/relay.rs
+++ b/crates/directory/src/relay.rs
@@ -44,7 +44,7 @@
 /// Maximum number of entries in the same data centre that an endpoint is reported to.
 const LOCAL_FANOUT: usize = 16;
 
-/// Difference between two instances' values of [`Report::bound`] above which the sender of the
+/// Difference between two instances' values of [`Report::bound_for`] above which the sender of the
 /// lower one is sent a report with the higher one.
 const BOUND_TOLERANCE: Duration = Duration::from_secs(1);
 
@@ -173,13 +173,13 @@
         route: Route,
         report: Report,
     ) {
-        let (bound, name) = (report.bound, report.endpoint.name.clone());
+        let (bound_for, name) = (report.bound_for, report.endpoint.name.clone());
         let result = directory.announce(now, report);
         let Some(key) = directory.key(&name) else {
             return;
         };
-        let known = directory.report(now, key).map(|known| known.bound);
-        if known.is_some_and(|known| known > bound + BOUND_TOLERANCE) {
+        let known = directory.report(now, key).map(|known| known.bound_for);
+        if known.is_some_and(|known| known > bound_for + BOUND_TOLERANCE) {
             let outbox = self.outboxes.entry(from).or_default();
             outbox.add(Route::Direct, key, now + BATCH_DELAY);
         }
--- a/crates/directory/src/report.rs
+++ b/crates/directory/src/report.rs
@@ -10,11 +10,11 @@
     /// Upper bound of the time since the endpoint sent it.
     pub age: Duration,
     /// Lower bound of the time for which the endpoint has held its address.
-    pub bound: Duration,
+    pub bound_for: Duration,
     /// The announced endpoint.
     pub endpoint: Endpoint,
     /// Time for which the endpoint has been ready.
-    pub warm: Duration,
+    pub ready_for: Duration,
 }
 
 impl Report {
@@ -22,9 +22,9 @@
     pub const fn new(endpoint: Endpoint) -> Self {
         Self {
             age: Duration::ZERO,
-            bound: Duration::ZERO,
+            bound_for: Duration::ZERO,
             endpoint,
-            warm: Duration::ZERO,
+            ready_for: Duration::ZERO,
         }
     }
 
@@ -35,14 +35,14 @@
     }
 
     /// Sets the time for which the address has been held.
-    pub const fn with_bound(mut self, bound: Duration) -> Self {
-        self.bound = bound;
+    pub const fn with_bound_for(mut self, bound_for: Duration) -> Self {
+        self.bound_for = bound_for;
         self
     }
 
     /// Sets the time for which the endpoint has been ready.
-    pub const fn with_warm(mut self, warm: Duration) -> Self {
-        self.warm = warm;
+    pub const fn with_ready_for(mut self, ready_for: Duration) -> Self {
+        self.ready_for = ready_for;
         self
     }
 }
--- a/crates/directory/tests/directory.rs
+++ b/crates/directory/tests/directory.rs
@@ -53,7 +53,7 @@
 fn directory_in_use() -> (Directory, Duration) {
     let mut directory = Directory::new();
     directory.tick(START);
-    let held = report("desk-1", 1, 1).with_bound(REBIND_DELAY);
+    let held = report("desk-1", 1, 1).with_bound_for(REBIND_DELAY);
     directory.announce(START, held).unwrap();
     (directory, START)
 }
@@ -106,7 +106,7 @@
     let (mut directory, mut now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     run(&mut directory, &mut now, LEASE + SECOND);
-    let held = report("desk-1", 1, 2).with_bound(REBIND_DELAY);
+    let held = report("desk-1", 1, 2).with_bound_for(REBIND_DELAY);
     assert_eq!(directory.announce(now, held), Ok(key));
     assert!(directory.get(key).is_some());
 }
@@ -156,63 +156,63 @@
     let old = directory.key("desk-1").unwrap();
     let key = directory.announce(now, report("desk-1", 2, 1)).unwrap();
     assert_ne!(key, old);
-    assert!(directory.takes(now, key));
+    assert!(directory.accepts_work(now, key));
     assert!(!directory.contains_key(old));
 }
 
 #[test]
-fn takes_silent_endpoint() {
+fn accepts_work_silent_endpoint() {
     let (mut directory, mut now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     let generation = directory.generation();
     run(&mut directory, &mut now, FRESHNESS - TICK);
-    assert!(directory.takes(now, key));
+    assert!(directory.accepts_work(now, key));
     run(&mut directory, &mut now, TICK);
-    assert!(!directory.takes(now, key));
+    assert!(!directory.accepts_work(now, key));
     assert!(directory.get(key).is_some());
     assert_ne!(directory.generation(), generation);
     assert!(FRESHNESS + TICK < 3 * SECOND);
 }
 
 #[test]
-fn takes_draining_endpoint() {
+fn accepts_work_draining_endpoint() {
     let (mut directory, now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     let generation = directory.generation();
     let mut draining = report("desk-1", 1, 2);
     draining.endpoint.state = State::Draining;
     directory.announce(now, draining).unwrap();
-    assert!(!directory.takes(now, key));
+    assert!(!directory.accepts_work(now, key));
     assert!(directory.get(key).is_some());
     assert_ne!(directory.generation(), generation);
 }
 
 #[test]
-fn takes_old_report() {
+fn accepts_work_old_report() {
     let (mut directory, now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     let late = report("desk-1", 1, 2).with_age(FRESHNESS);
     directory.announce(now, late).unwrap();
-    assert!(directory.takes(now, key));
+    assert!(directory.accepts_work(now, key));
     let mut directory = Directory::new();
     let late = report("desk-1", 1, 2).with_age(FRESHNESS);
     let key = directory.announce(SECOND, late).unwrap();
-    assert!(!directory.takes(SECOND, key));
+    assert!(!directory.accepts_work(SECOND, key));
 }
 
 #[test]
-fn takes_after_own_pause() {
+fn accepts_work_after_own_pause() {
     let (mut directory, mut now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     now += 5 * SECOND;
     directory.announce(now, report("desk-1", 1, 2)).unwrap();
-    assert!(!directory.takes(now, key));
+    assert!(!directory.accepts_work(now, key));
     directory.tick(now);
     directory.announce(now, report("desk-1", 1, 3)).unwrap();
-    assert!(!directory.takes(now, key));
+    assert!(!directory.accepts_work(now, key));
     run(&mut directory, &mut now, 2 * SECOND);
     directory.announce(now, report("desk-1", 1, 4)).unwrap();
-    assert!(directory.takes(now, key));
+    assert!(directory.accepts_work(now, key));
 }
 
 #[test]
@@ -244,7 +244,7 @@
 #[test]
 fn by_service_two_services() {
     let (mut directory, now) = directory_in_use();
-    let mut other = report("updates-1", 1, 1).with_bound(REBIND_DELAY);
+    let mut other = report("updates-1", 1, 1).with_bound_for(REBIND_DELAY);
     other.endpoint.address = "127.0.0.1:9001".parse().unwrap();
     other.endpoint.service = "booking-updates".into();
     let key = directory.announce(now, other).unwrap();
--- a/crates/directory/tests/net/mod.rs
+++ b/crates/directory/tests/net/mod.rs
@@ -117,10 +117,10 @@
     }
 
     /// Whether an endpoint may get new work from an entry.
-    pub fn takes(&self, number: usize, name: &str) -> bool {
+    pub fn accepts_work(&self, number: usize, name: &str) -> bool {
         let directory = &self.entries[number].directory;
         let key = directory.key(name);
-        key.is_some_and(|key| directory.takes(self.now(number), key))
+        key.is_some_and(|key| directory.accepts_work(self.now(number), key))
     }
 
     /// Advances virtual time by `time`.
--- a/crates/directory/tests/relay.rs
+++ b/crates/directory/tests/relay.rs
@@ -40,7 +40,7 @@
         sequence = announce(&mut net, 3, &names, sequence, SECOND);
         for number in 0..8 {
             for name in names {
-                assert!(net.takes(number, name), "{name} at {number}");
+                assert!(net.accepts_work(number, name), "{name} at {number}");
             }
         }
     }
@@ -53,7 +53,7 @@
     net.announce(0, report("desk-1", sequence, State::Draining));
     net.run(SECOND / 2);
     for number in 0..8 {
-        assert!(!net.takes(number, "desk-1"), "at {number}");
+        assert!(!net.accepts_work(number, "desk-1"), "at {number}");
     }
 }
 
@@ -61,12 +61,12 @@
 fn drain_cut_off_entry() {
     let mut net = Net::new(&[2, 2]);
     let sequence = announce(&mut net, 0, &["desk-1"], 1, REBIND_DELAY + 2 * SECOND);
-    assert!((0..4).all(|number| net.takes(number, "desk-1")));
+    assert!((0..4).all(|number| net.accepts_work(number, "desk-1")));
     net.cut = (0..3).map(|number| (number, 3)).collect();
     net.announce(0, report("desk-1", sequence, State::Draining));
     net.run(3 * SECOND);
     for number in 0..4 {
-        assert!(!net.takes(number, "desk-1"), "at {number}");
+        assert!(!net.accepts_work(number, "desk-1"), "at {number}");
     }
 }
 
@@ -78,7 +78,7 @@
     let mut sequence = announce(&mut net, 0, &["desk-1"], sequence, 6 * SECOND);
     for _ in 0..20 {
         sequence = announce(&mut net, 0, &["desk-1"], sequence, SECOND);
-        assert!(net.takes(1, "desk-1"));
+        assert!(net.accepts_work(1, "desk-1"));
     }
 }
 
@@ -88,10 +88,10 @@
     let sequence = announce(&mut net, 0, &["desk-1"], 1, REBIND_DELAY + 2 * SECOND);
     net.cut = (0..3).map(|number| (number, 3)).collect();
     let sequence = announce(&mut net, 0, &["desk-1"], sequence, 15 * SECOND);
-    assert!(!net.takes(3, "desk-1"));
+    assert!(!net.accepts_work(3, "desk-1"));
     net.cut.clear();
     announce(&mut net, 0, &["desk-1"], sequence, 5 * SECOND);
-    assert!(net.takes(3, "desk-1"));
+    assert!(net.accepts_work(3, "desk-1"));
 }
 
 #[test]
--- a/crates/directory/tests/reuse.rs
+++ b/crates/directory/tests/reuse.rs
@@ -83,7 +83,7 @@
         let mut instances = [Directory::new(), Directory::new()];
         for instance in &mut instances {
             instance.tick(START);
-            let report = Report::new(endpoint(false, 0)).with_bound(REBIND_DELAY);
+            let report = Report::new(endpoint(false, 0)).with_bound_for(REBIND_DELAY);
             instance.announce(START, report).unwrap();
         }
         Self {
@@ -112,7 +112,7 @@
             let key = instance.key(name)?;
             let report = instance.report(self.now, key)?;
             let used = instance.get(key).is_some();
-            Some((used, report.age, report.bound, report.endpoint.sequence))
+            Some((used, report.age, report.bound_for, report.endpoint.sequence))
         };
         let instances = self
             .instances
@@ -124,7 +124,7 @@
             .map(|message| {
                 let endpoint = &message.report.endpoint;
                 let order = (endpoint.name.clone(), endpoint.sequence);
-                (message.to, order, message.report.bound, message.sent)
+                (message.to, order, message.report.bound_for, message.sent)
             })
             .collect();
         in_flight.sort();
--- a/crates/steering/benches/capacity.rs
+++ b/crates/steering/benches/capacity.rs
@@ -11,12 +11,12 @@
 };
 
 use mimosausher_steering::{
-    Arrival,
     Endpoint,
     EndpointId,
     FlowId,
+    FlowPacket,
     InstanceId,
-    Owners,
+    OwnerSteering,
     Peer,
     Phase,
     ServiceId,
@@ -43,8 +43,8 @@
         let start = Instant::now();
         let count = held.max(500_000);
         for number in 0..count {
-            let arrival = arrival(number.wrapping_mul(7919) % held, Phase::Follows);
-            black_box(machine.packet(NOW, &arrival));
+            let packet = packet(number.wrapping_mul(7919) % held, Phase::Follows);
+            black_box(machine.handle_packet(NOW, &packet));
         }
         let packet_ns = start.elapsed().as_nanos() as f64 / count as f64;
         Figure::new("flows.packet_cost", &case, packet_ns, "ns/packet").print();
@@ -65,7 +65,7 @@
     Fit::new(&times).print("capacity.flows_ns", case, "ns/packet");
 }
 
-fn machine(held: u64) -> Owners {
+fn machine(held: u64) -> OwnerSteering {
     let own = Peer {
         centre: 0,
         id: InstanceId::new("entry-0"),
@@ -74,7 +74,7 @@
         reachable: true,
     };
     let limit = usize::try_from(held).unwrap() * AREA_DIVISOR / 7 + AREA_DIVISOR;
-    let mut machine = Owners::new(Duration::ZERO, own, limit, 1);
+    let mut machine = OwnerSteering::new(Duration::ZERO, own, limit, 1);
     let endpoints: Vec<_> = (0..14)
         .map(|index| Endpoint {
             id: EndpointId::new("endpoint", "booking-desk", index),
@@ -84,16 +84,16 @@
             weight: 3,
         })
         .collect();
-    machine.endpoints(NOW, &endpoints);
+    machine.set_endpoints(NOW, &endpoints);
     for number in 0..held {
-        machine.packet(NOW, &arrival(number, Phase::Opens));
-        machine.packet(NOW, &arrival(number, Phase::Follows));
+        machine.handle_packet(NOW, &packet(number, Phase::Opens));
+        machine.handle_packet(NOW, &packet(number, Phase::Follows));
     }
     machine
 }
 
-fn arrival(number: u64, phase: Phase) -> Arrival {
-    Arrival {
+fn packet(number: u64, phase: Phase) -> FlowPacket {
+    FlowPacket {
         flow: FlowId(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         phase,
         service: ServiceId::new("booking-desk"),
--- a/crates/steering/benches/flows.rs
+++ b/crates/steering/benches/flows.rs
@@ -16,13 +16,13 @@
 
 use driver::Driver;
 use mimosausher_steering::{
-    Arrival,
     Endpoint,
     EndpointId,
     FlowId,
+    FlowPacket,
     HistorySteering,
     Learning,
-    Owners,
+    OwnerSteering,
     Peer,
     Phase,
     ServiceId,
@@ -80,12 +80,12 @@
             });
             scope.spawn(|| {
                 run(deployment, "owners, messages", |now, own, seed| {
-                    Owners::new(now, own, LIMIT, seed).with_learning(Learning::Message)
+                    OwnerSteering::new(now, own, LIMIT, seed).with_learning(Learning::Message)
                 });
             });
             scope.spawn(|| {
                 run(deployment, "owners, packets", |now, own, seed| {
-                    Owners::new(now, own, LIMIT, seed)
+                    OwnerSteering::new(now, own, LIMIT, seed)
                 });
             });
         });
@@ -213,7 +213,7 @@
         leaving: false,
         reachable: true,
     };
-    let mut machine = Owners::new(Duration::ZERO, own, HELD * 16 / 7 + 16, SEED);
+    let mut machine = OwnerSteering::new(Duration::ZERO, own, HELD * 16 / 7 + 16, SEED);
     let now = seconds(60);
     let endpoints: Vec<_> = (0..14)
         .map(|index| Endpoint {
@@ -224,23 +224,23 @@
             weight: 3,
         })
         .collect();
-    machine.endpoints(now, &endpoints);
+    machine.set_endpoints(now, &endpoints);
     let flows: Vec<_> = (0..HELD).map(|_| FlowId(rng.random())).collect();
     for phase in [Phase::Opens, Phase::Follows] {
         for flow in &flows {
             if phase == Phase::Opens {
-                machine.packet(
+                machine.handle_packet(
                     now,
-                    &Arrival {
+                    &FlowPacket {
                         flow: *flow,
                         phase,
                         service,
                     },
                 );
             }
-            machine.packet(
+            machine.handle_packet(
                 now,
-                &Arrival {
+                &FlowPacket {
                     flow: *flow,
                     phase: Phase::Follows,
                     service,
@@ -253,9 +253,9 @@
         .collect();
     let start = Instant::now();
     for flow in order {
-        black_box(machine.packet(
+        black_box(machine.handle_packet(
             now,
-            &Arrival {
+            &FlowPacket {
                 flow,
                 phase: Phase::Follows,
                 service,
--- a/crates/steering/src/action.rs
+++ b/crates/steering/src/action.rs
@@ -14,10 +14,10 @@
     Drop(Code),
     /// Forwards it to the endpoint.
     Forward(EndpointId),
+    /// Hands it over to another entry.
+    HandOver(InstanceId, H),
     /// Forwards it to the endpoint and notifies the entry of the flow's endpoint.
     Hint(EndpointId, InstanceId),
-    /// Hands it over to another entry.
-    Pass(InstanceId, H),
     /// Rejects it with a TCP reset or an ICMP message to the client.
     Refuse(Code),
 }
--- a/crates/steering/src/decisions.rs
+++ b/crates/steering/src/decisions.rs
@@ -6,8 +6,8 @@
 
 use crate::{
     action::Action,
-    arrival::{
-        Arrival,
+    flow_packet::{
+        FlowPacket,
         Phase, //
     },
     header::{
@@ -21,7 +21,7 @@
     },
     owners::{
         Learning,
-        Owners, //
+        OwnerSteering, //
     },
     peer::Peer,
     record::{
@@ -35,12 +35,17 @@
 
 type Decision = Action<Header>;
 
-impl Owners {
-    pub(crate) fn decide(&mut self, now: Duration, arrival: &Arrival, header: Header) -> Decision {
-        match self.flows.lookup(arrival) {
-            Some(record) => self.decide_known(now, arrival, header, record),
-            None if arrival.phase == Phase::Opens => self.decide_first(now, arrival, header),
-            None => self.decide_unknown(now, arrival, header),
+impl OwnerSteering {
+    pub(crate) fn decide(
+        &mut self,
+        now: Duration,
+        packet: &FlowPacket,
+        header: Header,
+    ) -> Decision {
+        match self.flows.lookup(packet) {
+            Some(record) => self.decide_known(now, packet, header, record),
+            None if packet.phase == Phase::Opens => self.decide_first(now, packet, header),
+            None => self.decide_unknown(now, packet, header),
         }
     }
 
@@ -48,21 +53,21 @@
     fn decide_known(
         &mut self,
         now: Duration,
-        arrival: &Arrival,
+        packet: &FlowPacket,
         header: Header,
         record: Record,
     ) -> Decision {
-        if self.flows.pool.service(record.endpoint) != Some(arrival.service) {
-            self.flows.remove(arrival.flow);
+        if self.flows.pool.service(record.endpoint) != Some(packet.service) {
+            self.flows.remove(packet.flow);
             return Action::Refuse(Code::FlowEndpointGone);
         }
         match self.flows.pool.live_id(record.endpoint) {
             Some(endpoint) => {
-                let record = self.flows.record_packet(now, arrival, record);
-                self.deliver(arrival, header, record, endpoint)
+                let record = self.flows.record_packet(now, packet, record);
+                self.deliver(packet, header, record, endpoint)
             }
             None if self.view.settled(now) && self.flows.pool.gone(record.endpoint) => {
-                self.flows.remove(arrival.flow);
+                self.flows.remove(packet.flow);
                 Action::Refuse(Code::FlowEndpointGone)
             }
             None => {
@@ -70,62 +75,62 @@
                     returns: false,
                     ..header
                 };
-                self.query_next(arrival, header)
+                self.query_next(packet, header)
                     .unwrap_or(Action::Drop(Code::FlowEndpointGone))
             }
         }
     }
 
     /// Decides on the first packet of a flow, which the flow's first owner places.
-    fn decide_first(&mut self, now: Duration, arrival: &Arrival, header: Header) -> Decision {
-        let first = self.view.first_owner(arrival.flow);
+    fn decide_first(&mut self, now: Duration, packet: &FlowPacket, header: Header) -> Decision {
+        let first = self.view.first_owner(packet.flow);
         let queried = |id| id == self.view.own() || header.visited.contains(id);
         if queried(first) {
-            return self.place(now, arrival, header);
+            return self.place(now, packet, header);
         }
-        match self.query_next(arrival, header) {
+        match self.query_next(packet, header) {
             Some(action) => action,
-            None => self.place(now, arrival, header),
+            None => self.place(now, packet, header),
         }
     }
 
     /// Decides on a packet of an unknown flow that another entry may have placed.
-    fn decide_unknown(&mut self, now: Duration, arrival: &Arrival, header: Header) -> Decision {
+    fn decide_unknown(&mut self, now: Duration, packet: &FlowPacket, header: Header) -> Decision {
         let settled = self.view.settled(now);
-        let either = arrival.phase == Phase::Either;
+        let either = packet.phase == Phase::Either;
         let queried = |id| id == self.view.own() || header.visited.contains(id);
-        let owners = self.view.owners(arrival.flow);
+        let owners = self.view.owners(packet.flow);
         let owners_queried =
             either && settled && owners.into_iter().flatten().all(|one| queried(one.id));
         let next = if owners_queried {
             None
         } else {
-            self.query_next(arrival, header)
+            self.query_next(packet, header)
         };
         match next {
             Some(action) => action,
-            None if either => self.place(now, arrival, header),
+            None if either => self.place(now, packet, header),
             None if settled => Action::Refuse(Code::FlowEndpointGone),
             None => Action::Drop(Code::FlowEndpointGone),
         }
     }
 
     /// Places a new flow on an endpoint.
-    fn place(&mut self, now: Duration, arrival: &Arrival, mut header: Header) -> Decision {
+    fn place(&mut self, now: Duration, packet: &FlowPacket, mut header: Header) -> Decision {
         if !self.view.joined(now) {
             return Action::Drop(Code::FlowNoEndpoint);
         }
-        let Some(key) = self.flows.pool.place(arrival.service, &mut self.rng) else {
+        let Some(key) = self.flows.pool.place(packet.service, &mut self.rng) else {
             return self
-                .query_next(arrival, header)
+                .query_next(packet, header)
                 .unwrap_or(Action::Refuse(Code::FlowNoEndpoint));
         };
-        let record = Record::new(now, arrival.flow, key, Stage::Embryonic);
+        let record = Record::new(now, packet.flow, key, Stage::Embryonic);
         match (self.flows.insert(record), self.flows.pool.live_id(key)) {
             (Ok(()), Some(endpoint)) => {
                 header.returns = false;
                 header.visited.push(self.view.own());
-                self.deliver(arrival, header, record, endpoint)
+                self.deliver(packet, header, record, endpoint)
             }
             (Ok(()), None) => Action::Refuse(Code::FlowNoEndpoint),
             (Err(_), _) => Action::Refuse(Code::FlowTableFull),
@@ -135,53 +140,53 @@
     /// Forwards a packet whose endpoint is known, by way of the entries that have to learn it.
     fn deliver(
         &mut self,
-        arrival: &Arrival,
+        packet: &FlowPacket,
         mut header: Header,
         record: Record,
         endpoint: EndpointId,
     ) -> Decision {
         let own = self.view.own();
-        let unaware = self.unaware_owner(arrival, &header);
+        let unaware = self.unaware_owner(packet, &header);
         header.task = Task::Tell(endpoint);
         if usize::from(header.hops) >= MAX_HOPS {
             return Action::Forward(endpoint);
         }
         if let Some(first) = unaware {
-            return Action::Pass(first, self.add_hop(header));
+            return Action::HandOver(first, self.add_hop(header));
         }
         if record.owned()
             && let Some(other) = self.flows.replicate(&self.view, record)
         {
-            return Action::Pass(other, self.add_hop(header));
+            return Action::HandOver(other, self.add_hop(header));
         }
         let returning =
             header.returns && header.origin != own && self.view.reachable(header.origin);
         match self.learning {
             Learning::Message if returning => Action::Hint(endpoint, header.origin),
-            Learning::Packet if returning => Action::Pass(header.origin, self.add_hop(header)),
+            Learning::Packet if returning => Action::HandOver(header.origin, self.add_hop(header)),
             Learning::Message | Learning::Packet => Action::Forward(endpoint),
         }
     }
 
     /// The flow's first owner, if it was queried and did not know the flow.
-    fn unaware_owner(&self, arrival: &Arrival, header: &Header) -> Option<InstanceId> {
+    fn unaware_owner(&self, packet: &FlowPacket, header: &Header) -> Option<InstanceId> {
         if header.task != Task::Ask || header.visited.is_empty() {
             return None;
         }
-        let first = self.view.first_owner(arrival.flow);
+        let first = self.view.first_owner(packet.flow);
         let queried = header.visited.contains(first) && first != self.view.own();
         (queried && self.view.reachable(first)).then_some(first)
     }
 
     /// Hands over a packet of an unknown flow to the next entry that may know it.
-    fn query_next(&self, arrival: &Arrival, mut header: Header) -> Option<Decision> {
+    fn query_next(&self, packet: &FlowPacket, mut header: Header) -> Option<Decision> {
         if header.visited.len() >= MAX_QUERIED || usize::from(header.hops) >= MAX_HOPS {
             return None;
         }
         header.visited.push(self.view.own());
-        let next = self.view.next_candidate(arrival.flow, &header.visited)?;
+        let next = self.view.next_candidate(packet.flow, &header.visited)?;
         header.task = Task::Ask;
-        Some(Action::Pass(next, self.add_hop(header)))
+        Some(Action::HandOver(next, self.add_hop(header)))
     }
 
     /// Handles a packet whose endpoint another entry has determined.
@@ -189,32 +194,32 @@
         &mut self,
         now: Duration,
         from: InstanceId,
-        arrival: &Arrival,
+        packet: &FlowPacket,
         header: Header,
         endpoint: EndpointId,
     ) -> Decision {
         let own = self.view.own();
-        if let Some(existing) = self.flows.conflicting(arrival, endpoint)
+        if let Some(existing) = self.flows.conflicting(packet, endpoint)
             && !header.visited.contains(own)
         {
             return self.return_existing(from, header, existing);
         }
-        let Some(key) = self.flows.pool.intern(endpoint, arrival.service) else {
+        let Some(key) = self.flows.pool.intern(endpoint, packet.service) else {
             return Action::Forward(endpoint);
         };
-        let owned = header.origin != own || self.view.owns(arrival.flow);
-        let stage = match arrival.phase {
+        let owned = header.origin != own || self.view.owns(packet.flow);
+        let stage = match packet.phase {
             _ if !owned => Stage::Cached,
             Phase::Closes => Stage::Closing,
             Phase::Either | Phase::Opens => Stage::Embryonic,
             Phase::Follows => Stage::Established,
         };
-        let mut record = Record::new(now, arrival.flow, key, stage);
-        if let Some(old) = self.flows.table.get(arrival.flow)
+        let mut record = Record::new(now, packet.flow, key, stage);
+        if let Some(old) = self.flows.table.get(packet.flow)
             && old.endpoint == key
             && old.owned()
         {
-            record.stage = old.next_stage(arrival.phase);
+            record.stage = old.next_stage(packet.phase);
         }
         if record.owned() {
             record.replica = self.view.peer(from).map_or(0, Peer::tag);
@@ -226,9 +231,9 @@
             // packet.
             let mut header = self.add_hop(header);
             header.returns = false;
-            return Action::Pass(from, header);
+            return Action::HandOver(from, header);
         }
-        self.deliver(arrival, header, record, endpoint)
+        self.deliver(packet, header, record, endpoint)
     }
 
     /// Returns a packet with the flow's existing endpoint to an entry that placed the flow again.
@@ -243,7 +248,7 @@
         }
         header.visited.push(self.view.own());
         header.task = Task::Tell(existing);
-        Action::Pass(from, self.add_hop(header))
+        Action::HandOver(from, self.add_hop(header))
     }
 
     fn add_hop(&self, header: Header) -> Header {
--- a/crates/steering/src/arrival.rs
+++ b/crates/steering/src/flow_packet.rs
@@ -20,7 +20,7 @@
 
 /// The properties of a packet that steering decides on.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Arrival {
+pub struct FlowPacket {
     /// Its flow.
     pub flow: FlowId,
     /// Its position in the flow.
--- a/crates/steering/src/flows.rs
+++ b/crates/steering/src/flows.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::{
-    arrival::{
-        Arrival,
+    flow_packet::{
+        FlowPacket,
         Phase, //
     },
     identity::{
@@ -18,7 +18,7 @@
         Record,
         Stage, //
     },
-    steer::Copied,
+    steer::FlowCopy,
     table::{
         Full,
         Table, //
@@ -48,9 +48,9 @@
     ///
     /// A cached record does not decide on the first and the last packet. A first packet of a flow
     /// that is past its first packet is placed again if its endpoint accepts no new flows.
-    pub fn lookup(&self, arrival: &Arrival) -> Option<Record> {
-        let record = self.table.get(arrival.flow)?;
-        match (arrival.phase, record.stage) {
+    pub fn lookup(&self, packet: &FlowPacket) -> Option<Record> {
+        let record = self.table.get(packet.flow)?;
+        match (packet.phase, record.stage) {
             // The owners must see the first packet and the last.
             (Phase::Closes | Phase::Opens, Stage::Cached) => None,
             (Phase::Opens, Stage::Closing | Stage::Established)
@@ -63,10 +63,10 @@
     }
 
     /// Updates the record of a flow with a packet.
-    pub fn record_packet(&mut self, now: Duration, arrival: &Arrival, record: Record) -> Record {
+    pub fn record_packet(&mut self, now: Duration, packet: &FlowPacket, record: Record) -> Record {
         let mut next = record;
         next.touch(now);
-        next.stage = record.next_stage(arrival.phase);
+        next.stage = record.next_stage(packet.phase);
         if next.stage != record.stage {
             // The other owner's copy must be updated.
             next.epoch = 0;
@@ -106,11 +106,11 @@
     }
 
     /// The other endpoint on which this entry has already placed the same new flow.
-    pub fn conflicting(&self, arrival: &Arrival, endpoint: EndpointId) -> Option<EndpointId> {
-        let record = self.table.get(arrival.flow)?;
+    pub fn conflicting(&self, packet: &FlowPacket, endpoint: EndpointId) -> Option<EndpointId> {
+        let record = self.table.get(packet.flow)?;
         let existing = self.pool.live_id(record.endpoint)?;
         let is_new = matches!(
-            (arrival.phase, record.stage),
+            (packet.phase, record.stage),
             (Phase::Opens | Phase::Either, Stage::Embryonic) | (Phase::Either, Stage::Established)
         );
         (is_new && existing != endpoint).then_some(existing)
@@ -118,7 +118,7 @@
 
     /// Inserts a copy received from another entry, unless the known record is owned or the copy
     /// would only be cached.
-    pub fn insert_copy(&mut self, now: Duration, copy: &Copied, owned: bool, sender_tag: u16) {
+    pub fn insert_copy(&mut self, now: Duration, copy: &FlowCopy, owned: bool, sender_tag: u16) {
         let known = self.table.get(copy.flow);
         if known.is_some_and(|record| record.owned() || !owned) {
             return;
--- a/crates/steering/src/history.rs
+++ b/crates/steering/src/history.rs
@@ -12,11 +12,11 @@
 
 use crate::{
     action::Action,
-    arrival::{
-        Arrival,
+    endpoint::Endpoint,
+    flow_packet::{
+        FlowPacket,
         Phase, //
     },
-    endpoint::Endpoint,
     identity::{
         EndpointId,
         FlowId,
@@ -27,7 +27,7 @@
     pool::Pool,
     stateless::rendezvous,
     steer::{
-        Copied,
+        FlowCopy,
         Steer, //
     },
     view::View,
@@ -79,13 +79,13 @@
         self.opened.is_empty()
     }
 
-    fn decide(&mut self, arrival: &Arrival, slot: Slot) -> Action<()> {
-        if arrival.phase == Phase::Opens
+    fn decide(&mut self, packet: &FlowPacket, slot: Slot) -> Action<()> {
+        if packet.phase == Phase::Opens
             && let Some(current) = slot.current
         {
-            self.opened.insert(arrival.flow, current);
+            self.opened.insert(packet.flow, current);
         }
-        let opened = self.opened.get(&arrival.flow).copied();
+        let opened = self.opened.get(&packet.flow).copied();
         let choice = opened.or(slot.previous).or(slot.current);
         match choice {
             Some(endpoint) if self.alive.contains(&endpoint) => Action::Forward(endpoint),
@@ -98,9 +98,38 @@
 impl Steer for HistorySteering {
     type Header = ();
 
-    fn copied(&mut self, _: Duration, _: InstanceId, _: &[Copied]) {}
+    fn handed_off(&self) -> bool {
+        true
+    }
+
+    fn handle_handover(
+        &mut self,
+        _: Duration,
+        _: InstanceId,
+        packet: &FlowPacket,
+        (): (),
+    ) -> Action<()> {
+        let key = (packet.service, packet.flow.0 % SLOTS);
+        let slot = self.slots.get(&key).copied().unwrap_or_default();
+        self.decide(packet, slot)
+    }
+
+    fn handle_packet(&mut self, _: Duration, packet: &FlowPacket) -> Action<()> {
+        let key = (packet.service, packet.flow.0 % SLOTS);
+        let slot = self.slots.get(&key).copied().unwrap_or_default();
+        let owner = self.view.first_owner(FlowId(key.1));
+        match slot.current {
+            Some(endpoint) if slot.previous.is_none() => Action::Forward(endpoint),
+            Some(_) if owner != self.view.own() => Action::HandOver(owner, ()),
+            Some(_) | None => self.decide(packet, slot),
+        }
+    }
+
+    fn leave(&mut self, _: Duration) {}
+
+    fn receive_copies(&mut self, _: Duration, _: InstanceId, _: &[FlowCopy]) {}
 
-    fn endpoints(&mut self, _: Duration, endpoints: &[Endpoint]) {
+    fn set_endpoints(&mut self, _: Duration, endpoints: &[Endpoint]) {
         self.pool.update(endpoints);
         self.alive.clear();
         self.alive
@@ -109,12 +138,12 @@
         for service in services {
             for number in 0..SLOTS {
                 let key = FlowId(number);
-                let arrival = Arrival {
+                let packet = FlowPacket {
                     flow: key,
                     phase: Phase::Opens,
                     service,
                 };
-                let chosen = rendezvous(&self.pool, &arrival, key);
+                let chosen = rendezvous(&self.pool, &packet, key);
                 let slot = self.slots.entry((service, number)).or_default();
                 if chosen != slot.current {
                     slot.previous = slot.current;
@@ -124,32 +153,9 @@
         }
     }
 
-    fn handed(&mut self, _: Duration, _: InstanceId, arrival: &Arrival, (): ()) -> Action<()> {
-        let key = (arrival.service, arrival.flow.0 % SLOTS);
-        let slot = self.slots.get(&key).copied().unwrap_or_default();
-        self.decide(arrival, slot)
-    }
-
-    fn leave(&mut self, _: Duration) {}
-
-    fn left(&self) -> bool {
-        true
-    }
-
-    fn packet(&mut self, _: Duration, arrival: &Arrival) -> Action<()> {
-        let key = (arrival.service, arrival.flow.0 % SLOTS);
-        let slot = self.slots.get(&key).copied().unwrap_or_default();
-        let owner = self.view.first_owner(FlowId(key.1));
-        match slot.current {
-            Some(endpoint) if slot.previous.is_none() => Action::Forward(endpoint),
-            Some(_) if owner != self.view.own() => Action::Pass(owner, ()),
-            Some(_) | None => self.decide(arrival, slot),
-        }
-    }
-
-    fn peers(&mut self, now: Duration, peers: &[Peer]) {
+    fn set_peers(&mut self, now: Duration, peers: &[Peer]) {
         self.view.update(now, peers);
     }
 
-    fn tick(&mut self, _: Duration, _: &mut Vec<(InstanceId, Copied)>) {}
+    fn tick(&mut self, _: Duration, _: &mut Vec<(InstanceId, FlowCopy)>) {}
 }
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,12 +1,12 @@
 //! Flow steering: chooses the endpoint for each packet, the same one for all packets of a flow.
 
 mod action;
-mod arrival;
 mod decisions;
 mod encapsulation;
 mod endpoint;
 mod error;
 mod flow;
+mod flow_packet;
 mod flows;
 mod header;
 mod history;
@@ -25,10 +25,6 @@
 
 pub use crate::{
     action::Action,
-    arrival::{
-        Arrival,
-        Phase, //
-    },
     encapsulation::{
         GRE_BYTES,
         GRE_IPV4,
@@ -42,6 +38,10 @@
         Flow,
         Transport, //
     },
+    flow_packet::{
+        FlowPacket,
+        Phase, //
+    },
     header::{
         Header,
         MAX_HOPS,
@@ -57,14 +57,14 @@
     },
     owners::{
         Learning,
-        Owners, //
+        OwnerSteering, //
     },
     packet::Packet,
     peer::Peer,
     refusal::refusal,
     stateless::StatelessSteering,
     steer::{
-        Copied,
+        FlowCopy,
         Steer, //
     },
 };
--- a/crates/steering/src/owners.rs
+++ b/crates/steering/src/owners.rs
@@ -7,11 +7,11 @@
 
 use crate::{
     action::Action,
-    arrival::{
-        Arrival,
+    endpoint::Endpoint,
+    flow_packet::{
+        FlowPacket,
         Phase, //
     },
-    endpoint::Endpoint,
     flows::Flows,
     header::{
         Header,
@@ -22,7 +22,7 @@
     peer::Peer,
     replication::Replication,
     steer::{
-        Copied,
+        FlowCopy,
         Steer, //
     },
     view::View,
@@ -43,7 +43,7 @@
 /// through both: the first owner places the flow, the second one keeps a copy. Any other entry
 /// queries the owners by handing over the packet to them, and learns the endpoint when it returns.
 #[derive(Clone, Debug)]
-pub struct Owners {
+pub struct OwnerSteering {
     pub(crate) flows: Flows,
     pub(crate) learning: Learning,
     pub(crate) replication: Replication,
@@ -51,7 +51,7 @@
     pub(crate) view: View,
 }
 
-impl Owners {
+impl OwnerSteering {
     /// Creates the state machine of an entry that has just started.
     ///
     /// `limit` is the size of its flow table.
@@ -99,61 +99,61 @@
     }
 }
 
-impl Steer for Owners {
+impl Steer for OwnerSteering {
     type Header = Header;
 
-    fn copied(&mut self, now: Duration, from: InstanceId, copies: &[Copied]) {
-        let sender_tag = self.view.peer(from).map_or(0, Peer::tag);
-        for copy in copies {
-            let owned = self.view.owns(copy.flow);
-            self.flows.insert_copy(now, copy, owned, sender_tag);
-        }
-    }
-
-    fn endpoints(&mut self, _: Duration, endpoints: &[Endpoint]) {
-        self.flows.pool.update(endpoints);
+    fn handed_off(&self) -> bool {
+        self.view.leaving() && self.replication.complete()
     }
 
-    fn handed(
+    fn handle_handover(
         &mut self,
         now: Duration,
         from: InstanceId,
-        arrival: &Arrival,
+        packet: &FlowPacket,
         header: Header,
     ) -> Action<Header> {
         match header.task {
-            Task::Ask => self.decide(now, arrival, header),
-            Task::Tell(endpoint) => self.handle_tell(now, from, arrival, header, endpoint),
+            Task::Ask => self.decide(now, packet, header),
+            Task::Tell(endpoint) => self.handle_tell(now, from, packet, header, endpoint),
         }
     }
 
+    fn handle_packet(&mut self, now: Duration, packet: &FlowPacket) -> Action<Header> {
+        let header = Header {
+            hops: 0,
+            origin: self.view.own(),
+            returns: packet.phase != Phase::Opens,
+            task: Task::Ask,
+            visited: Visited::default(),
+        };
+        self.decide(now, packet, header)
+    }
+
     fn leave(&mut self, now: Duration) {
         self.view.leave(now);
         self.replication.restart(now);
     }
 
-    fn left(&self) -> bool {
-        self.view.leaving() && self.replication.complete()
+    fn receive_copies(&mut self, now: Duration, from: InstanceId, copies: &[FlowCopy]) {
+        let sender_tag = self.view.peer(from).map_or(0, Peer::tag);
+        for copy in copies {
+            let owned = self.view.owns(copy.flow);
+            self.flows.insert_copy(now, copy, owned, sender_tag);
+        }
     }
 
-    fn packet(&mut self, now: Duration, arrival: &Arrival) -> Action<Header> {
-        let header = Header {
-            hops: 0,
-            origin: self.view.own(),
-            returns: arrival.phase != Phase::Opens,
-            task: Task::Ask,
-            visited: Visited::default(),
-        };
-        self.decide(now, arrival, header)
+    fn set_endpoints(&mut self, _: Duration, endpoints: &[Endpoint]) {
+        self.flows.pool.update(endpoints);
     }
 
-    fn peers(&mut self, now: Duration, peers: &[Peer]) {
+    fn set_peers(&mut self, now: Duration, peers: &[Peer]) {
         if self.view.update(now, peers) {
             self.replication.restart(now);
         }
     }
 
-    fn tick(&mut self, now: Duration, copies: &mut Vec<(InstanceId, Copied)>) {
+    fn tick(&mut self, now: Duration, copies: &mut Vec<(InstanceId, FlowCopy)>) {
         self.flows.pool.refresh();
         self.replication
             .run(now, &self.view, &mut self.flows, copies);
--- a/crates/steering/src/packet.rs
+++ b/crates/steering/src/packet.rs
@@ -8,13 +8,13 @@
 };
 
 use crate::{
-    arrival::Phase,
     error::Error,
     flow::{
         Destination,
         Flow,
         Transport, //
     },
+    flow_packet::Phase,
 };
 
 /// The parts of a packet's headers that steering uses.
--- a/crates/steering/src/record.rs
+++ b/crates/steering/src/record.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::{
-    arrival::Phase,
+    flow_packet::Phase,
     identity::FlowId,
     pool::EndpointKey, //
 };
--- a/crates/steering/src/replication.rs
+++ b/crates/steering/src/replication.rs
@@ -8,7 +8,7 @@
         missing_copy, //
     },
     identity::InstanceId,
-    steer::Copied,
+    steer::FlowCopy,
     view::View,
 };
 
@@ -84,7 +84,7 @@
         now: Duration,
         view: &View,
         flows: &mut Flows,
-        copies: &mut Vec<(InstanceId, Copied)>,
+        copies: &mut Vec<(InstanceId, FlowCopy)>,
     ) {
         let step = now.saturating_sub(self.last).min(MAX_STEP);
         self.last = now;
@@ -127,7 +127,7 @@
         now: Duration,
         view: &View,
         flows: &mut Flows,
-        copies: &mut Vec<(InstanceId, Copied)>,
+        copies: &mut Vec<(InstanceId, FlowCopy)>,
     ) {
         let Some(record) = flows.table.at(self.cursor) else {
             return;
@@ -144,7 +144,7 @@
             Some(_) if early || self.credit < COPY_BYTES => self.clean = false,
             Some(_) => {
                 self.credit -= COPY_BYTES;
-                let copy = Copied {
+                let copy = FlowCopy {
                     endpoint: flows.pool.id(record.endpoint),
                     flow: record.flow,
                     service: flows.pool.service(record.endpoint).unwrap_or_default(),
--- a/crates/steering/src/stateless.rs
+++ b/crates/steering/src/stateless.rs
@@ -6,8 +6,8 @@
 
 use crate::{
     action::Action,
-    arrival::Arrival,
     endpoint::Endpoint,
+    flow_packet::FlowPacket,
     identity::{
         EndpointId,
         FlowId,
@@ -19,7 +19,7 @@
         weight, //
     },
     steer::{
-        Copied,
+        FlowCopy,
         Steer, //
     },
 };
@@ -39,14 +39,14 @@
         Self::default()
     }
 
-    fn choose(&self, arrival: &Arrival) -> Option<EndpointId> {
-        rendezvous(&self.pool, arrival, arrival.flow)
+    fn choose(&self, packet: &FlowPacket) -> Option<EndpointId> {
+        rendezvous(&self.pool, packet, packet.flow)
     }
 }
 
 /// The endpoint with the highest weighted hash for a key.
-pub fn rendezvous(pool: &Pool, arrival: &Arrival, key: FlowId) -> Option<EndpointId> {
-    pool.accepting(arrival.service)
+pub fn rendezvous(pool: &Pool, packet: &FlowPacket, key: FlowId) -> Option<EndpointId> {
+    pool.accepting(packet.service)
         .map(|endpoint| (score(key, endpoint), endpoint.id))
         .max_by(|one, other| one.0.total_cmp(&other.0))
         .map(|(_, id)| id)
@@ -61,30 +61,36 @@
 impl Steer for StatelessSteering {
     type Header = ();
 
-    fn copied(&mut self, _: Duration, _: InstanceId, _: &[Copied]) {}
+    fn handed_off(&self) -> bool {
+        true
+    }
 
-    fn endpoints(&mut self, _: Duration, endpoints: &[Endpoint]) {
-        self.pool.update(endpoints);
+    fn handle_handover(
+        &mut self,
+        now: Duration,
+        _: InstanceId,
+        packet: &FlowPacket,
+        (): (),
+    ) -> Action<()> {
+        self.handle_packet(now, packet)
     }
 
-    fn handed(&mut self, now: Duration, _: InstanceId, arrival: &Arrival, (): ()) -> Action<()> {
-        self.packet(now, arrival)
+    fn handle_packet(&mut self, _: Duration, packet: &FlowPacket) -> Action<()> {
+        match self.choose(packet) {
+            Some(endpoint) => Action::Forward(endpoint),
+            None => Action::Refuse(Code::FlowNoEndpoint),
+        }
     }
 
     fn leave(&mut self, _: Duration) {}
 
-    fn left(&self) -> bool {
-        true
-    }
+    fn receive_copies(&mut self, _: Duration, _: InstanceId, _: &[FlowCopy]) {}
 
-    fn packet(&mut self, _: Duration, arrival: &Arrival) -> Action<()> {
-        match self.choose(arrival) {
-            Some(endpoint) => Action::Forward(endpoint),
-            None => Action::Refuse(Code::FlowNoEndpoint),
-        }
+    fn set_endpoints(&mut self, _: Duration, endpoints: &[Endpoint]) {
+        self.pool.update(endpoints);
     }
 
-    fn peers(&mut self, _: Duration, _: &[Peer]) {}
+    fn set_peers(&mut self, _: Duration, _: &[Peer]) {}
 
-    fn tick(&mut self, _: Duration, _: &mut Vec<(InstanceId, Copied)>) {}
+    fn tick(&mut self, _: Duration, _: &mut Vec<(InstanceId, FlowCopy)>) {}
 }
--- a/crates/steering/src/steer.rs
+++ b/crates/steering/src/steer.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     action::Action,
-    arrival::Arrival,
     endpoint::Endpoint,
+    flow_packet::FlowPacket,
     identity::{
         EndpointId,
         FlowId,
@@ -20,7 +20,7 @@
 
 /// Copy of a flow's record, as sent between entries apart from the flow's packets.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Copied {
+pub struct FlowCopy {
     /// The flow's endpoint.
     pub endpoint: EndpointId,
     /// The flow.
@@ -36,33 +36,33 @@
     /// Header that a packet carries between entries.
     type Header: Copy + Debug;
 
-    /// Handles flow copies from another entry.
-    fn copied(&mut self, now: Duration, from: InstanceId, copies: &[Copied]);
-
-    /// Replaces the live endpoints.
-    fn endpoints(&mut self, now: Duration, endpoints: &[Endpoint]);
+    /// Whether a planned stop has handed off all flows.
+    fn handed_off(&self) -> bool;
 
     /// Decides on a packet that another entry has handed over.
-    fn handed(
+    fn handle_handover(
         &mut self,
         now: Duration,
         from: InstanceId,
-        arrival: &Arrival,
+        packet: &FlowPacket,
         header: Self::Header,
     ) -> Action<Self::Header>;
 
+    /// Decides on a packet from the fabric.
+    fn handle_packet(&mut self, now: Duration, packet: &FlowPacket) -> Action<Self::Header>;
+
     /// Begins a planned stop.
     fn leave(&mut self, now: Duration);
 
-    /// Whether a planned stop has handed off all flows.
-    fn left(&self) -> bool;
+    /// Handles flow copies from another entry.
+    fn receive_copies(&mut self, now: Duration, from: InstanceId, copies: &[FlowCopy]);
 
-    /// Decides on a packet from the fabric.
-    fn packet(&mut self, now: Duration, arrival: &Arrival) -> Action<Self::Header>;
+    /// Replaces the live endpoints.
+    fn set_endpoints(&mut self, now: Duration, endpoints: &[Endpoint]);
 
     /// Replaces the other entries.
-    fn peers(&mut self, now: Duration, peers: &[Peer]);
+    fn set_peers(&mut self, now: Duration, peers: &[Peer]);
 
     /// Does a part of the background work; appends flow copies to send to other entries.
-    fn tick(&mut self, now: Duration, copies: &mut Vec<(InstanceId, Copied)>);
+    fn tick(&mut self, now: Duration, copies: &mut Vec<(InstanceId, FlowCopy)>);
 }
--- a/crates/steering/tests/bounds.rs
+++ b/crates/steering/tests/bounds.rs
@@ -10,12 +10,12 @@
 };
 use mimosausher_steering::{
     Action,
-    Arrival,
     Endpoint,
     EndpointId,
     FlowId,
+    FlowPacket,
     InstanceId,
-    Owners,
+    OwnerSteering,
     Peer,
     Phase,
     ServiceId,
@@ -35,7 +35,7 @@
     }
 }
 
-fn machine(limit: usize) -> Owners {
+fn machine(limit: usize) -> OwnerSteering {
     let own = Peer {
         centre: 1,
         id: InstanceId::new("entry-1"),
@@ -43,13 +43,13 @@
         leaving: false,
         reachable: true,
     };
-    let mut machine = Owners::new(Duration::ZERO, own, limit, 3);
-    machine.endpoints(NOW, &[endpoint("updates-1", "updates", 1, 1000)]);
+    let mut machine = OwnerSteering::new(Duration::ZERO, own, limit, 3);
+    machine.set_endpoints(NOW, &[endpoint("updates-1", "updates", 1, 1000)]);
     machine
 }
 
-fn arrival(flow: u64, phase: Phase) -> Arrival {
-    Arrival {
+fn packet(flow: u64, phase: Phase) -> FlowPacket {
+    FlowPacket {
         flow: FlowId(flow),
         phase,
         service: ServiceId::new("updates"),
@@ -57,72 +57,72 @@
 }
 
 #[test]
-fn packet_flood_of_first_packets() {
+fn handle_packet_flood_of_first_packets() {
     let mut machine = machine(800);
     for flow in 0..100 {
-        machine.packet(NOW, &arrival(flow, Phase::Opens));
-        machine.packet(NOW, &arrival(flow, Phase::Follows));
+        machine.handle_packet(NOW, &packet(flow, Phase::Opens));
+        machine.handle_packet(NOW, &packet(flow, Phase::Follows));
     }
     for flow in 1_000..100_000 {
-        machine.packet(NOW, &arrival(flow, Phase::Opens));
+        machine.handle_packet(NOW, &packet(flow, Phase::Opens));
     }
     assert!(machine.len() <= 200);
     let endpoint = EndpointId::new("updates-1", "updates", 1);
     for flow in 0..100 {
-        let action = machine.packet(NOW, &arrival(flow, Phase::Follows));
+        let action = machine.handle_packet(NOW, &packet(flow, Phase::Follows));
         assert_eq!(action, Action::Forward(endpoint));
     }
-    machine.packet(NOW, &arrival(200, Phase::Opens));
-    let action = machine.packet(NOW, &arrival(200, Phase::Follows));
+    machine.handle_packet(NOW, &packet(200, Phase::Opens));
+    let action = machine.handle_packet(NOW, &packet(200, Phase::Follows));
     assert_eq!(action, Action::Forward(endpoint));
 }
 
 #[test]
-fn packet_full_table() {
+fn handle_packet_full_table() {
     let mut machine = machine(64);
     for flow in 0..28 {
-        machine.packet(NOW, &arrival(flow, Phase::Opens));
-        machine.packet(NOW, &arrival(flow, Phase::Follows));
+        machine.handle_packet(NOW, &packet(flow, Phase::Opens));
+        machine.handle_packet(NOW, &packet(flow, Phase::Follows));
     }
-    let action = machine.packet(NOW, &arrival(99, Phase::Opens));
+    let action = machine.handle_packet(NOW, &packet(99, Phase::Opens));
     assert_eq!(action, Action::Refuse(Code::FlowTableFull));
 }
 
 #[test]
-fn packet_draining_endpoint() {
+fn handle_packet_draining_endpoint() {
     let mut machine = machine(64);
-    machine.packet(NOW, &arrival(1, Phase::Opens));
-    machine.packet(NOW, &arrival(1, Phase::Follows));
+    machine.handle_packet(NOW, &packet(1, Phase::Opens));
+    machine.handle_packet(NOW, &packet(1, Phase::Follows));
     let old = endpoint("updates-1", "updates", 1, 0);
     let new = endpoint("updates-2", "updates", 1, 100);
-    machine.endpoints(NOW, &[old, new]);
-    let kept = machine.packet(NOW, &arrival(1, Phase::Follows));
+    machine.set_endpoints(NOW, &[old, new]);
+    let kept = machine.handle_packet(NOW, &packet(1, Phase::Follows));
     assert_eq!(kept, Action::Forward(old.id));
     for flow in 2..50 {
-        let action = machine.packet(NOW, &arrival(flow, Phase::Opens));
+        let action = machine.handle_packet(NOW, &packet(flow, Phase::Opens));
         assert_eq!(action, Action::Forward(new.id));
     }
 }
 
 #[test]
-fn packet_reused_address() {
+fn handle_packet_reused_address() {
     let mut machine = machine(64);
-    machine.packet(NOW, &arrival(1, Phase::Opens));
-    machine.packet(NOW, &arrival(1, Phase::Follows));
-    machine.endpoints(NOW, &[endpoint("updates-1", "canvas", 1, 1000)]);
-    let action = machine.packet(NOW, &arrival(1, Phase::Follows));
+    machine.handle_packet(NOW, &packet(1, Phase::Opens));
+    machine.handle_packet(NOW, &packet(1, Phase::Follows));
+    machine.set_endpoints(NOW, &[endpoint("updates-1", "canvas", 1, 1000)]);
+    let action = machine.handle_packet(NOW, &packet(1, Phase::Follows));
     assert_eq!(action, Action::Refuse(Code::FlowEndpointGone));
-    machine.endpoints(NOW, &[endpoint("updates-1", "updates", 2, 1000)]);
-    let action = machine.packet(NOW, &arrival(1, Phase::Follows));
+    machine.set_endpoints(NOW, &[endpoint("updates-1", "updates", 2, 1000)]);
+    let action = machine.handle_packet(NOW, &packet(1, Phase::Follows));
     assert_eq!(action, Action::Refuse(Code::FlowEndpointGone));
 }
 
 #[test]
-fn packet_silent_flow() {
+fn handle_packet_silent_flow() {
     let mut machine = machine(64);
-    machine.packet(NOW, &arrival(1, Phase::Opens));
-    machine.packet(NOW, &arrival(1, Phase::Follows));
-    machine.packet(NOW, &arrival(2, Phase::Opens));
+    machine.handle_packet(NOW, &packet(1, Phase::Opens));
+    machine.handle_packet(NOW, &packet(1, Phase::Follows));
+    machine.handle_packet(NOW, &packet(2, Phase::Opens));
     let mut copies = Vec::new();
     machine.tick(NOW + Duration::from_secs(70), &mut copies);
     assert_eq!(machine.len(), 1);
@@ -136,10 +136,10 @@
     let mut busy = endpoint("updates-1", "updates", 1, 1000);
     busy.load = 1.0;
     let idle = endpoint("updates-2", "updates", 1, 1000);
-    machine.endpoints(NOW, &[busy, idle]);
+    machine.set_endpoints(NOW, &[busy, idle]);
     let chosen = (0..3_000)
         .filter(|flow| {
-            machine.packet(NOW, &arrival(*flow, Phase::Opens)) == Action::Forward(busy.id)
+            machine.handle_packet(NOW, &packet(*flow, Phase::Opens)) == Action::Forward(busy.id)
         })
         .count();
     // The loaded endpoint's penalty is 1.5, so 3,000 flows divide as 2 to 3.
--- a/crates/steering/tests/changes.rs
+++ b/crates/steering/tests/changes.rs
@@ -6,14 +6,14 @@
 
 use driver::Driver;
 use mimosausher_steering::{
-    Owners,
+    OwnerSteering,
     ServiceId, //
 };
 
 const SEED: u64 = 7;
 
-fn new_machine(now: Duration, own: mimosausher_steering::Peer, seed: u64) -> Owners {
-    Owners::new(now, own, 60_000, seed)
+fn new_machine(now: Duration, own: mimosausher_steering::Peer, seed: u64) -> OwnerSteering {
+    OwnerSteering::new(now, own, 60_000, seed)
 }
 
 fn seconds(count: u64) -> Duration {
@@ -22,11 +22,11 @@
 
 /// A simulation with six endpoints and entries in four data centres that learn of changes at
 /// different times.
-fn cluster(entries: usize) -> Driver<Owners> {
+fn cluster(entries: usize) -> Driver<OwnerSteering> {
     cluster_with_udp(entries, 25)
 }
 
-fn cluster_with_udp(entries: usize, udp: u32) -> Driver<Owners> {
+fn cluster_with_udp(entries: usize, udp: u32) -> Driver<OwnerSteering> {
     let mut driver = Driver::new(SEED, new_machine);
     driver.traffic.udp = udp;
     let service = ServiceId::new("booking-updates");
@@ -81,7 +81,7 @@
 }
 
 /// Opens flows that only their owners know, and stops the packets of all flows.
-fn idle_cluster() -> Driver<Owners> {
+fn idle_cluster() -> Driver<OwnerSteering> {
     let mut driver = cluster(8);
     let service = driver.world.backends[0].service;
     driver.traffic.targets.insert(service, 4_000);
@@ -94,7 +94,7 @@
 }
 
 /// Sends a packet of each flow.
-fn send_all(driver: &mut Driver<Owners>) {
+fn send_all(driver: &mut Driver<OwnerSteering>) {
     for flow in &mut driver.traffic.flows {
         flow.next = driver.now;
     }
--- a/crates/steering/tests/driver/flow.rs
+++ b/crates/steering/tests/driver/flow.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use mimosausher_steering::{
-    Arrival,
     FlowId,
+    FlowPacket,
     Phase,
     ServiceId, //
 };
@@ -28,8 +28,8 @@
 
 impl Flow {
     /// The next packet of the flow.
-    pub fn arrival(&self) -> Arrival {
-        Arrival {
+    pub fn packet(&self) -> FlowPacket {
+        FlowPacket {
             flow: self.id,
             phase: match (self.udp, self.backend) {
                 (true, _) => Phase::Either,
--- a/crates/steering/tests/driver/mod.rs
+++ b/crates/steering/tests/driver/mod.rs
@@ -15,10 +15,10 @@
 
 use mimosausher_steering::{
     Action,
-    Arrival,
-    Copied,
     Endpoint,
     EndpointId,
+    FlowCopy,
+    FlowPacket,
     InstanceId,
     Peer,
     Steer, //
@@ -130,7 +130,7 @@
             up: true,
         };
         let endpoints = self.world.endpoints(self.now, self.now);
-        entry.machine.endpoints(self.now, &endpoints);
+        entry.machine.set_endpoints(self.now, &endpoints);
         entry.endpoints = endpoints;
         self.entries.push(entry);
         self.publish_peers(Duration::ZERO);
@@ -145,7 +145,7 @@
         entry.incarnation += 1;
         let own = own(entry.centre, &entry.name, entry.incarnation);
         entry.machine = (self.make)(now, own, index as u64 + 100);
-        entry.machine.endpoints(now, &endpoints);
+        entry.machine.set_endpoints(now, &endpoints);
         entry.endpoints = endpoints;
         entry.up = true;
         entry.frozen = false;
@@ -165,7 +165,7 @@
         self.world.leaving.insert(index);
         self.publish_peers(Duration::ZERO);
         let start = self.now;
-        while !self.entries[index].machine.left() {
+        while !self.entries[index].machine.handed_off() {
             assert!(
                 self.now < start + Duration::from_secs(60),
                 "the entry never handed off its flows"
@@ -218,33 +218,29 @@
     }
 
     /// Sends a packet to a random entry that it can reach.
-    pub fn send_to_random(&mut self, arrival: &Arrival) -> Outcome {
-        let isolated = arrival.flow.0.is_multiple_of(4);
+    pub fn send_to_random(&mut self, packet: &FlowPacket) -> Outcome {
+        let isolated = packet.flow.0.is_multiple_of(4);
         let up: Vec<_> = (0..self.entries.len())
             .filter(|index| self.isolated.is_empty() || self.isolated.contains(index) == isolated)
             .filter(|index| self.entries[*index].up && !self.entries[*index].frozen)
             .collect();
         let index = up[self.rng.random_range(0..up.len())];
-        self.send(index, arrival)
+        self.send(index, packet)
     }
 
     /// Sends a packet to an entry and follows it to its outcome.
-    pub fn send(&mut self, index: usize, arrival: &Arrival) -> Outcome {
+    pub fn send(&mut self, index: usize, packet: &FlowPacket) -> Outcome {
         let now = self.now;
         let mut at = index;
         let mut hops = 0;
-        let mut action = self.entries[at].machine.packet(now, arrival);
+        let mut action = self.entries[at].machine.handle_packet(now, packet);
         self.counts.packets += 1;
         let outcome = loop {
             match action {
                 Action::Drop(_) => break Outcome::Lost,
                 Action::Forward(endpoint) if !self.knows(at, endpoint) => break Outcome::Lost,
                 Action::Forward(endpoint) => break Outcome::Delivered(endpoint),
-                Action::Hint(endpoint, to) => {
-                    self.hint(at, to, arrival, endpoint);
-                    break Outcome::Delivered(endpoint);
-                }
-                Action::Pass(to, header) => {
+                Action::HandOver(to, header) => {
                     hops += 1;
                     assert!(hops <= 32, "a packet is handed over in a loop");
                     let Some(next) = self.reachable(at, to) else {
@@ -252,7 +248,13 @@
                     };
                     let from = self.entries[at].id;
                     at = next;
-                    action = self.entries[at].machine.handed(now, from, arrival, header);
+                    action = self.entries[at]
+                        .machine
+                        .handle_handover(now, from, packet, header);
+                }
+                Action::Hint(endpoint, to) => {
+                    self.hint(at, to, packet, endpoint);
+                    break Outcome::Delivered(endpoint);
                 }
                 Action::Refuse(_) => break Outcome::Refused,
             }
@@ -268,17 +270,19 @@
         entry.endpoints.iter().any(|endpoint| endpoint.id == id)
     }
 
-    fn hint(&mut self, at: usize, to: InstanceId, arrival: &Arrival, endpoint: EndpointId) {
+    fn hint(&mut self, at: usize, to: InstanceId, packet: &FlowPacket, endpoint: EndpointId) {
         self.counts.control_bytes += (UDP_BYTES + 26) as u64;
-        let copy = Copied {
+        let copy = FlowCopy {
             endpoint,
-            flow: arrival.flow,
-            service: arrival.service,
+            flow: packet.flow,
+            service: packet.service,
         };
         let from = self.entries[at].id;
         if let Some(next) = self.reachable(at, to) {
             let now = self.now;
-            self.entries[next].machine.copied(now, from, &[copy]);
+            self.entries[next]
+                .machine
+                .receive_copies(now, from, &[copy]);
         }
     }
 
@@ -324,13 +328,13 @@
             let seen = self.now.saturating_sub(entry.lag);
             let endpoints = self.world.endpoints(self.now, seen);
             if endpoints != entry.endpoints {
-                entry.machine.endpoints(self.now, &endpoints);
+                entry.machine.set_endpoints(self.now, &endpoints);
                 entry.endpoints = endpoints;
             }
             let peers = self.world.peers.iter().rev();
             let mut known = peers.filter(|(time, _)| *time <= seen);
             if let Some(peers) = known.find_map(|(_, peers)| peers.get(index)) {
-                entry.machine.peers(self.now, peers);
+                entry.machine.set_peers(self.now, peers);
             }
         }
     }
@@ -347,7 +351,9 @@
             let from = self.entries[index].id;
             for (to, copy) in copies {
                 if let Some(next) = self.reachable(index, to) {
-                    self.entries[next].machine.copied(now, from, &[copy]);
+                    self.entries[next]
+                        .machine
+                        .receive_copies(now, from, &[copy]);
                 }
             }
         }
@@ -365,7 +371,7 @@
 }
 
 /// Bytes of the messages that carry the copies.
-fn wire_bytes(copies: &[(InstanceId, Copied)]) -> usize {
+fn wire_bytes(copies: &[(InstanceId, FlowCopy)]) -> usize {
     let messages: BTreeSet<_> = copies.iter().map(|(to, _)| *to).collect();
     let groups: BTreeSet<_> = copies
         .iter()
--- a/crates/steering/tests/driver/traffic.rs
+++ b/crates/steering/tests/driver/traffic.rs
@@ -6,8 +6,8 @@
 };
 
 use mimosausher_steering::{
-    Arrival,
     FlowId,
+    FlowPacket,
     Phase,
     ServiceId,
     Steer, //
@@ -86,9 +86,9 @@
         let now = driver.now;
         let flow = &self.flows[index];
         if flow.end <= now {
-            let last = Arrival {
+            let last = FlowPacket {
                 phase: Phase::Closes,
-                ..flow.arrival()
+                ..flow.packet()
             };
             if !flow.udp && flow.backend.is_some() {
                 driver.send_to_random(&last);
@@ -98,7 +98,7 @@
         if flow.next > now {
             return true;
         }
-        let outcome = driver.send_to_random(&flow.arrival());
+        let outcome = driver.send_to_random(&flow.packet());
         let flow = &mut self.flows[index];
         flow.next = now + PACKET_INTERVAL.mul_f64(driver.rng.random_range(0.5..1.5));
         let alive = flow
--- a/crates/steering/tests/reuse.rs
+++ b/crates/steering/tests/reuse.rs
@@ -14,12 +14,12 @@
 
 use mimosausher_steering::{
     Action,
-    Arrival,
     Endpoint,
     EndpointId,
     FlowId,
+    FlowPacket,
     InstanceId,
-    Owners,
+    OwnerSteering,
     Peer,
     Phase,
     ServiceId,
@@ -35,7 +35,7 @@
 #[derive(Clone)]
 struct State {
     depth: u8,
-    entries: [Owners; 2],
+    entries: [OwnerSteering; 2],
     /// Index of the service at the address, as known to each entry.
     known: [usize; 2],
     steps: Vec<u8>,
@@ -84,29 +84,29 @@
     }
 }
 
-fn entry(index: usize, known: usize) -> Owners {
-    let mut machine = Owners::new(Duration::ZERO, peer(index), 16, 1);
-    machine.peers(Duration::ZERO, &[peer(1 - index)]);
-    machine.endpoints(NOW, &[endpoint(known)]);
+fn entry(index: usize, known: usize) -> OwnerSteering {
+    let mut machine = OwnerSteering::new(Duration::ZERO, peer(index), 16, 1);
+    machine.set_peers(Duration::ZERO, &[peer(1 - index)]);
+    machine.set_endpoints(NOW, &[endpoint(known)]);
     machine
 }
 
 impl State {
-    fn send(&mut self, at: usize, arrival: &Arrival) {
+    fn send(&mut self, at: usize, packet: &FlowPacket) {
         let mut at = at;
-        let mut action = self.entries[at].packet(NOW, arrival);
+        let mut action = self.entries[at].handle_packet(NOW, packet);
         for _ in 0..16 {
             match action {
                 Action::Forward(endpoint) => {
                     // An entry sends to an address only while it knows this binding of it.
                     let sent = endpoint == id(self.known[at]);
-                    self.violated |= sent && service(self.known[at]) != arrival.service;
+                    self.violated |= sent && service(self.known[at]) != packet.service;
                     return;
                 }
-                Action::Pass(_, header) => {
+                Action::HandOver(_, header) => {
                     let from = peer(at).id;
                     at = 1 - at;
-                    action = self.entries[at].handed(NOW, from, arrival, header);
+                    action = self.entries[at].handle_handover(NOW, from, packet, header);
                 }
                 Action::Drop(_) | Action::Hint(..) | Action::Refuse(_) => return,
             }
@@ -122,18 +122,18 @@
         match number / 2 {
             0 => {
                 next.known[at] = 1;
-                next.entries[at].endpoints(NOW, &[endpoint(1)]);
+                next.entries[at].set_endpoints(NOW, &[endpoint(1)]);
             }
             1 => next.entries[at] = entry(at, next.known[at]),
             kind => {
                 let phases = [Phase::Opens, Phase::Follows, Phase::Either];
                 let kind = usize::from(kind - 2);
-                let arrival = Arrival {
+                let packet = FlowPacket {
                     flow: FlowId(5 + (kind / 3) as u64),
                     phase: phases[kind % 3],
                     service: service(kind / 3),
                 };
-                next.send(at, &arrival);
+                next.send(at, &packet);
             }
         }
         next
