--- a/crates/directory/benches/capacity.rs
+++ b/crates/directory/benches/capacity.rs
@@ -138,7 +138,7 @@
 
 /// CPU time and traffic of announcements from the endpoints themselves, in nanoseconds and bytes
 /// per second.
-fn announce(size: u32, length: usize) -> (f64, f64) {
+fn announce(size: u32, report_length: usize) -> (f64, f64) {
     let (mut directory, mut relay) = (Directory::new(), Relay::new());
     let mut now = Duration::from_secs(1);
     let others = |first: u32| vec![address(first), address(first + 1)];
@@ -158,7 +158,7 @@
             now += TICK;
             directory.tick(now);
             for (_, batch) in relay.flush(now, &directory) {
-                bytes += HEADER_BYTES + batch.reports.len() * length;
+                bytes += HEADER_BYTES + batch.reports.len() * report_length;
             }
         }
         elapsed += start.elapsed();
--- a/crates/directory/src/directory.rs
+++ b/crates/directory/src/directory.rs
@@ -24,8 +24,8 @@
     report::Report,
     times::{
         LEASE,
-        STALL_GRACE, //
-        STALL_THRESHOLD,
+        PAUSE_GRACE,
+        PAUSE_THRESHOLD, //
     },
 };
 
@@ -39,12 +39,12 @@
     addresses: BTreeMap<SocketAddr, EndpointKey>,
     bindings: SlotMap<EndpointKey, Binding>,
     generation: u64,
+    last_tick: Option<Duration>,
     names: BTreeMap<Box<str>, EndpointKey>,
-    services: BTreeMap<Box<str>, BTreeSet<EndpointKey>>,
     /// Length of the last pause, and the time until which received messages may have been queued
     /// during it.
-    stall: (Duration, Duration),
-    ticked: Option<Duration>,
+    pause: (Duration, Duration),
+    services: BTreeMap<Box<str>, BTreeSet<EndpointKey>>,
 }
 
 impl Directory {
@@ -62,12 +62,12 @@
     /// # Errors
     ///
     /// [`Code::AnnouncementStale`] if a later one is already known, or it is older than the lease;
-    /// the lease is not renewed. [`Code::AnnouncementConflict`] while the address is held by another endpoint, or if the
-    /// incarnation had another address or service before.
+    /// the lease is not renewed. [`Code::AnnouncementConflict`] while the address is held by
+    /// another endpoint, or if the incarnation had another address or service before.
     pub fn announce(&mut self, now: Duration, mut report: Report) -> Result<EndpointKey, Code> {
         let just_started = now < LEASE;
         let now = now + CLOCK_OFFSET;
-        report.age += self.stall_age(now);
+        report.age += self.queued_for(now);
         if report.age >= LEASE {
             return Err(Code::AnnouncementStale);
         }
@@ -89,12 +89,12 @@
     pub fn tick(&mut self, now: Duration) {
         let now = now + CLOCK_OFFSET;
         let gap = self
-            .ticked
-            .map_or(Duration::ZERO, |ticked| now.saturating_sub(ticked));
-        if gap > STALL_THRESHOLD {
-            self.stall = (gap, now + STALL_GRACE);
+            .last_tick
+            .map_or(Duration::ZERO, |last| now.saturating_sub(last));
+        if gap > PAUSE_THRESHOLD {
+            self.pause = (gap, now + PAUSE_GRACE);
         }
-        self.ticked = Some(now);
+        self.last_tick = Some(now);
         self.expire(now);
         let keys: Vec<_> = self.bindings.keys().collect();
         for key in keys {
@@ -108,8 +108,8 @@
     /// that no lease that expired during the pause is used.
     pub fn catch_up(&mut self, now: Duration) {
         let overdue = self
-            .ticked
-            .is_some_and(|ticked| (now + CLOCK_OFFSET).saturating_sub(ticked) > STALL_THRESHOLD);
+            .last_tick
+            .is_some_and(|last| (now + CLOCK_OFFSET).saturating_sub(last) > PAUSE_THRESHOLD);
         if overdue {
             self.tick(now);
         }
@@ -122,8 +122,8 @@
 
     /// The endpoint of a key while it is in use; its established flows still go to its address.
     ///
-    /// A key whose lease has expired is in use again if the same incarnation is confirmed later; see
-    /// [`contains_key`](Self::contains_key).
+    /// A key whose lease has expired is in use again if the same incarnation is confirmed later;
+    /// see [`contains_key`](Self::contains_key).
     pub fn get(&self, key: EndpointKey) -> Option<&Endpoint> {
         self.bindings
             .get(key)
@@ -196,13 +196,14 @@
             .map(|binding| &binding.endpoint)
     }
 
-    fn stall_age(&self, now: Duration) -> Duration {
-        let (length, until) = self.stall;
+    /// Maximum time for which a message received now was queued during a pause of the process.
+    fn queued_for(&self, now: Duration) -> Duration {
+        let (length, until) = self.pause;
         let since_tick = self
-            .ticked
-            .map_or(Duration::ZERO, |ticked| now.saturating_sub(ticked));
+            .last_tick
+            .map_or(Duration::ZERO, |last| now.saturating_sub(last));
         match () {
-            () if since_tick > STALL_THRESHOLD => since_tick,
+            () if since_tick > PAUSE_THRESHOLD => since_tick,
             () if now < until => length,
             () => Duration::ZERO,
         }
--- a/crates/directory/src/path.rs
+++ b/crates/directory/src/path.rs
@@ -26,8 +26,8 @@
         stamp: Duration,
         echo: Option<Echo>,
     ) -> Option<Duration> {
-        let newer = self.last_heard.is_none_or(|(last, _)| stamp != last);
-        if newer {
+        let is_new = self.last_heard.is_none_or(|(last, _)| stamp != last);
+        if is_new {
             self.last_heard = Some((stamp, now));
         }
         let echo = echo?;
--- a/crates/directory/src/relay.rs
+++ b/crates/directory/src/relay.rs
@@ -250,14 +250,14 @@
         if self.reachable(now, to) || route != Route::Direct {
             return;
         }
-        let relay = self
+        let forwarder = self
             .paths
             .iter()
             .filter(|(address, path)| **address != to && path.reachable(now) && !path.never_heard())
             .map(|(address, _)| *address)
             .min_by_key(|address| rank("", address));
-        if let Some(relay) = relay {
-            let outbox = self.outboxes.entry(relay).or_default();
+        if let Some(forwarder) = forwarder {
+            let outbox = self.outboxes.entry(forwarder).or_default();
             outbox.add(Route::Forward(to), key, due);
         }
     }
--- a/crates/directory/src/report.rs
+++ b/crates/directory/src/report.rs
@@ -4,7 +4,8 @@
 
 use crate::endpoint::Endpoint;
 
-/// An announcement as sent between instances, with bounds of its age.
+/// An announcement as sent between instances, with its age and the times for which the endpoint has
+/// held its address and been ready.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
     /// Upper bound of the time since the endpoint sent it.
--- a/crates/directory/src/times.rs
+++ b/crates/directory/src/times.rs
@@ -31,7 +31,7 @@
 pub const WARMUP: Duration = Duration::from_secs(10);
 
 /// Gap between two ticks above which the process counts as paused.
-pub(crate) const STALL_THRESHOLD: Duration = Duration::from_millis(300);
+pub(crate) const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
 
 /// Time after a pause in which received messages may have been queued since before the pause.
-pub(crate) const STALL_GRACE: Duration = Duration::from_secs(1);
+pub(crate) const PAUSE_GRACE: Duration = Duration::from_secs(1);
--- a/crates/directory/tests/directory.rs
+++ b/crates/directory/tests/directory.rs
@@ -135,7 +135,7 @@
     for sequence in 1.. {
         let result = directory.announce(now, report("desk-2", 1, sequence));
         let Some(new) = directory.key("desk-2") else {
-            panic!("not remembered");
+            panic!("the waiting endpoint is not in the directory");
         };
         match directory.get(new) {
             Some(_) => break,
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn weight_cold_endpoint() {
+fn weight_newly_ready_endpoint() {
     let (mut directory, mut now) = directory_in_use();
     let key = directory.key("desk-1").unwrap();
     let mut weights = vec![directory.weight(now, key)];
--- a/crates/directory/tests/relay.rs
+++ b/crates/directory/tests/relay.rs
@@ -1,4 +1,5 @@
-//! Relay of announcements between data centres, around blocked paths, with true ages.
+//! Relay of announcements between data centres and around blocked paths, by entries whose clocks
+//! differ.
 
 mod net;
 
@@ -6,8 +7,8 @@
 
 use mimosausher_directory::{
     ANNOUNCE_INTERVAL,
-    REBIND_DELAY, //
-    State,
+    REBIND_DELAY,
+    State, //
 };
 use net::{
     Net,
--- a/crates/directory/tests/reuse.rs
+++ b/crates/directory/tests/reuse.rs
@@ -17,9 +17,9 @@
 use mimosausher_directory::{
     Directory,
     Endpoint,
-    REBIND_DELAY, //
+    REBIND_DELAY,
     Report,
-    State,
+    State, //
 };
 use pathfinding::directed::bfs::bfs_reach;
 
@@ -55,6 +55,7 @@
     in_flight: Vec<Message>,
     instances: [Directory; 2],
     now: Duration,
+    /// Whether the second endpoint has taken over the address.
     second: bool,
     step: u64,
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -38,9 +38,9 @@
         JOIN_FANOUT,
         JOIN_INTERVAL,
         LEAVE_FANOUT,
+        PAUSE_THRESHOLD,
         PROBE_INTERVAL,
         REJOIN_INTERVAL,
-        STALL_THRESHOLD,
         SYNC_INTERVAL,
         SYNC_PER_MEMBER,
         VIEW_CHUNK, //
@@ -55,9 +55,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Due {
     join: Duration,
+    last_tick: Option<Duration>,
     pub(crate) probe: Duration,
     sync: Duration,
-    ticked: Option<Duration>,
 }
 
 /// The members known to an instance, excluding itself: all of its own data centre, all stores,
@@ -71,10 +71,10 @@
 pub struct Members {
     pub(crate) due: Due,
     pub(crate) forwarded: BTreeMap<u64, ForwardedProbe>,
-    pub(crate) join_fanout: usize,
-    pub(crate) number: u64,
+    pub(crate) join_messages_left: usize,
+    pub(crate) last_number: u64,
     pub(crate) probe: Option<Probe>,
-    pub(crate) queue: VecDeque<Box<str>>,
+    pub(crate) probe_queue: VecDeque<Box<str>>,
     pub(crate) random: ChaCha8Rng,
     pub(crate) seeds: Box<[SocketAddr]>,
     pub(crate) view: View,
@@ -82,15 +82,15 @@
 
 impl Members {
     /// Creates the state of an instance that knows only the addresses of its seeds.
-    pub fn new(own: Instance, seeds: &[SocketAddr], seed: u64) -> Self {
+    pub fn new(own: Instance, seeds: &[SocketAddr], rng_seed: u64) -> Self {
         Self {
             due: Due::default(),
             forwarded: BTreeMap::new(),
-            join_fanout: JOIN_FANOUT,
-            number: 0,
+            join_messages_left: JOIN_FANOUT,
+            last_number: 0,
             probe: None,
-            queue: VecDeque::new(),
-            random: ChaCha8Rng::seed_from_u64(seed),
+            probe_queue: VecDeque::new(),
+            random: ChaCha8Rng::seed_from_u64(rng_seed),
             seeds: seeds.into(),
             view: View::new(own),
         }
@@ -170,8 +170,8 @@
         for rumour in message.rumours {
             let (to, standing) = (rumour.instance.inner, rumour.standing);
             let new = self.view.merge(now, rumour.instance, standing);
-            if new && standing == Standing::Alive && self.join_fanout > 0 {
-                self.join_fanout -= 1;
+            if new && standing == Standing::Alive && self.join_messages_left > 0 {
+                self.join_messages_left -= 1;
                 actions.push(self.view.message(to, Body::Tell));
             }
         }
@@ -214,10 +214,10 @@
         }
         let gap = self
             .due
-            .ticked
-            .map_or(Duration::ZERO, |ticked| now.saturating_sub(ticked));
-        self.due.ticked = Some(now);
-        if gap > STALL_THRESHOLD {
+            .last_tick
+            .map_or(Duration::ZERO, |last| now.saturating_sub(last));
+        self.due.last_tick = Some(now);
+        if gap > PAUSE_THRESHOLD {
             // Missing acknowledgements may be due to this instance's own pause.
             self.probe = None;
             self.view.restart_suspicions(now);
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -7,7 +7,7 @@
     member::Standing, //
 };
 
-/// A member and its standing as gossip between instances.
+/// A member and its standing, as gossiped between instances.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Rumour {
     /// The member.
@@ -49,6 +49,6 @@
     pub body: Body,
     /// The sender.
     pub from: Instance,
-    /// Gossip that is piggybacked on the message.
+    /// Rumours that are piggybacked on the message.
     pub rumours: Vec<Rumour>,
 }
--- a/crates/membership/src/probing.rs
+++ b/crates/membership/src/probing.rs
@@ -145,12 +145,12 @@
 
     /// The next present member; the order is reshuffled once all have been probed.
     fn next_target(&mut self) -> Option<(Box<str>, SocketAddr, u64)> {
-        if self.queue.is_empty() {
+        if self.probe_queue.is_empty() {
             let mut names: Vec<_> = self.iter().map(|instance| instance.name.clone()).collect();
             names.shuffle(&mut self.random);
-            self.queue = names.into();
+            self.probe_queue = names.into();
         }
-        while let Some(name) = self.queue.pop_front() {
+        while let Some(name) = self.probe_queue.pop_front() {
             let member = self.view.get(&name);
             if let Some(member) = member.filter(|member| member.standing.present()) {
                 let instance = &member.instance;
@@ -161,7 +161,7 @@
     }
 
     fn next_number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+        self.last_number += 1;
+        self.last_number
     }
 }
--- a/crates/membership/src/times.rs
+++ b/crates/membership/src/times.rs
@@ -5,7 +5,8 @@
 /// Interval between ticks when the process is not delayed.
 pub const TICK: Duration = Duration::from_millis(100);
 
-/// Number of entries kept in the view for each other data centre.
+/// Maximum number of present members, apart from stores, kept in the view for each other data
+/// centre.
 pub const CONTACTS_PER_CENTRE: usize = 4;
 
 /// Interval between probes.
@@ -29,17 +30,17 @@
 /// Interval between attempts to reach an absent seed or a dead member.
 pub(crate) const REJOIN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Interval between such attempts while no member is present in the view.
+/// The same interval while no member is present in the view.
 pub(crate) const JOIN_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Minimum interval between requests for a member's full view.
 pub(crate) const SYNC_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time that each member of the view adds to that interval.
+/// Minimum interval between these requests per member of the view.
 pub(crate) const SYNC_PER_MEMBER: Duration = Duration::from_millis(500);
 
 /// Gap between two ticks above which the process counts as paused.
-pub(crate) const STALL_THRESHOLD: Duration = Duration::from_secs(1);
+pub(crate) const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Maximum number of rumours piggybacked on a message.
 pub(crate) const RUMOURS_PER_MESSAGE: usize = 6;
@@ -50,5 +51,5 @@
 /// Number of members that are notified of a planned stop.
 pub(crate) const LEAVE_FANOUT: usize = 32;
 
-/// Number of newly discovered members that a started instance sends a message at once.
+/// Number of newly discovered members that an instance sends a message to at once after its start.
 pub(crate) const JOIN_FANOUT: usize = 32;
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -217,26 +217,26 @@
 
     /// Whether an unknown instance is admitted to the view.
     ///
-    /// Of each other data centre only [`CONTACTS_PER_CENTRE`] non-store members are kept, the
-    /// highest-ranked ones; a higher-ranked instance evicts the lowest.
+    /// Of each other data centre only [`CONTACTS_PER_CENTRE`] non-store members are kept, those
+    /// with the smallest hashes; an instance with a smaller hash evicts the one with the largest.
     fn admit(&mut self, instance: &Instance) -> bool {
         if instance.store || instance.centre == self.own.centre {
             return true;
         }
-        let rank = |name: &str| {
+        let hash_of = |name: &str| {
             let mut hasher = SipHasher13::new();
             (&self.own.name, name).hash(&mut hasher);
             hasher.finish()
         };
-        let new_rank = rank(&instance.name);
+        let new_hash = hash_of(&instance.name);
         let contacts: Vec<_> = self
             .iter()
             .filter(|known| !known.store && known.centre == instance.centre)
-            .map(|known| (rank(&known.name), known.name.clone()))
+            .map(|known| (hash_of(&known.name), known.name.clone()))
             .collect();
         match contacts.iter().max() {
             Some(_) if contacts.len() < CONTACTS_PER_CENTRE => true,
-            Some((lowest, _)) if new_rank > *lowest => false,
+            Some((largest, _)) if new_hash > *largest => false,
             Some((_, name)) => {
                 let name = name.clone();
                 self.members.remove(&name);
--- a/crates/steering/benches/capacity.rs
+++ b/crates/steering/benches/capacity.rs
@@ -30,8 +30,8 @@
 /// Numbers of flows held.
 const HELD: [u64; 5] = [15_000, 30_000, 60_000, 120_000, 240_000];
 
-/// Divisor of the table's area for owned flows, which is 7 of 16 records.
-const AREA_DIVISOR: usize = 16;
+/// Number of records of the table per 7 records of its area for owned flows.
+const RECORDS_PER_7_OWNED: usize = 16;
 
 const NOW: Duration = Duration::from_secs(60);
 
@@ -73,7 +73,7 @@
         leaving: false,
         reachable: true,
     };
-    let limit = usize::try_from(held).unwrap() * AREA_DIVISOR / 7 + AREA_DIVISOR;
+    let limit = usize::try_from(held).unwrap() * RECORDS_PER_7_OWNED / 7 + RECORDS_PER_7_OWNED;
     let mut machine = OwnerSteering::new(Duration::ZERO, own, limit, 1);
     let endpoints: Vec<_> = (0..14)
         .map(|index| Endpoint {
--- a/crates/steering/src/action.rs
+++ b/crates/steering/src/action.rs
@@ -18,6 +18,6 @@
     HandOver(InstanceId, H),
     /// Forwards it to the endpoint and notifies the entry of the flow's endpoint.
     Hint(EndpointId, InstanceId),
-    /// Rejects it with a TCP reset or an ICMP message to the client.
+    /// Refuses it with a TCP reset or an ICMP message to the client.
     Refuse(Code),
 }
--- a/crates/steering/src/decisions.rs
+++ b/crates/steering/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions on packets by the owners of their flows.
+//! Decisions on packets, in steering by the owners of each flow.
 
 use std::time::Duration;
 
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Forwards a packet whose endpoint is known, by way of the entries that have to learn it.
+    /// Forwards a packet to its flow's endpoint, first through the entries that need a record of
+    /// the flow.
     fn deliver(
         &mut self,
         packet: &FlowPacket,
@@ -146,12 +147,12 @@
         endpoint: EndpointId,
     ) -> Decision {
         let own = self.view.own();
-        let unaware = self.unaware_owner(packet, &header);
+        let unrecorded = self.owner_without_record(packet, &header);
         header.task = Task::Tell(endpoint);
         if usize::from(header.hops) >= MAX_HOPS {
             return Action::Forward(endpoint);
         }
-        if let Some(first) = unaware {
+        if let Some(first) = unrecorded {
             return Action::HandOver(first, self.add_hop(header));
         }
         if record.owned()
@@ -168,8 +169,8 @@
         }
     }
 
-    /// The flow's first owner, if it was queried and did not know the flow.
-    fn unaware_owner(&self, packet: &FlowPacket, header: &Header) -> Option<InstanceId> {
+    /// The flow's first owner, if it was queried and had no record of the flow.
+    fn owner_without_record(&self, packet: &FlowPacket, header: &Header) -> Option<InstanceId> {
         if header.task != Task::Ask || header.visited.is_empty() {
             return None;
         }
--- a/crates/steering/src/flows.rs
+++ b/crates/steering/src/flows.rs
@@ -46,8 +46,8 @@
 
     /// The record to use for a packet, if this entry may decide by it.
     ///
-    /// A cached record does not decide on the first and the last packet. A first packet of a flow
-    /// that is past its first packet is placed again if its endpoint accepts no new flows.
+    /// A cached record does not decide on the first and the last packet. A flow that is established
+    /// or closing is placed again by a new first packet if its endpoint accepts no new flows.
     pub fn lookup(&self, packet: &FlowPacket) -> Option<Record> {
         let record = self.table.get(packet.flow)?;
         match (packet.phase, record.stage) {
@@ -137,8 +137,8 @@
         let _result = self.insert(record);
     }
 
-    /// Marks an owned flow as having its second copy; returns the entry that must be sent it, if
-    /// the copy is missing.
+    /// Marks an owned flow as having its second copy; if the copy is missing, returns the entry to
+    /// send it to.
     pub fn replicate(&mut self, view: &View, record: Record) -> Option<InstanceId> {
         if record.epoch == view.epoch() {
             return None;
--- a/crates/steering/src/header.rs
+++ b/crates/steering/src/header.rs
@@ -29,8 +29,8 @@
     /// Adds an entry; returns whether there was room.
     pub fn push(&mut self, id: InstanceId) -> bool {
         match self.ids.get_mut(usize::from(self.length)) {
-            Some(place) => {
-                *place = id;
+            Some(slot) => {
+                *slot = id;
                 self.length += 1;
                 true
             }
--- a/crates/steering/src/identity.rs
+++ b/crates/steering/src/identity.rs
@@ -83,7 +83,7 @@
     value ^ (value >> 31)
 }
 
-/// The low half of an integer.
+/// The low 32 bits of an integer.
 pub const fn low_half(value: u64) -> u32 {
     let [a, b, c, d, ..] = value.to_le_bytes();
     u32::from_le_bytes([a, b, c, d])
--- a/crates/steering/src/peer.rs
+++ b/crates/steering/src/peer.rs
@@ -18,7 +18,7 @@
 }
 
 impl Peer {
-    /// Short hash of the entry's incarnation; never 0.
+    /// Short hash of the entry's identity and incarnation; never 0.
     pub(crate) const fn tag(&self) -> u16 {
         let mixed = crate::identity::mix(self.incarnation ^ crate::identity::mix(widened(self.id)));
         let [a, b, ..] = mixed.to_le_bytes();
--- a/crates/steering/src/pool.rs
+++ b/crates/steering/src/pool.rs
@@ -23,7 +23,7 @@
 struct Slot {
     /// The endpoint; `None` if it is unknown or gone.
     endpoint: Option<Endpoint>,
-    /// Number of open flows on the endpoint that this instance owns.
+    /// Number of open flows on the endpoint that are owned by this entry.
     flows: u32,
     id: EndpointId,
     /// Whether the endpoint has been alive at any time.
@@ -94,7 +94,7 @@
         if let Some(key) = self.keys.get(&id) {
             return Some(*key);
         }
-        let unused = Slot {
+        let new_slot = Slot {
             endpoint: None,
             flows: 0,
             id,
@@ -108,11 +108,11 @@
         let index = match index.and_then(|index| Some((index, self.slots.get_mut(index)?))) {
             Some((index, slot)) => {
                 self.keys.remove(&slot.id);
-                *slot = unused;
+                *slot = new_slot;
                 index
             }
             None => {
-                self.slots.push(unused);
+                self.slots.push(new_slot);
                 self.slots.len() - 1
             }
         };
@@ -127,7 +127,7 @@
         slot.endpoint.map(|endpoint| endpoint.id)
     }
 
-    /// Whether an endpoint was alive and is gone; one that was never alive here is not.
+    /// Whether an endpoint is no longer alive; false for one that was never alive at this entry.
     pub fn gone(&self, key: EndpointKey) -> bool {
         self.slots
             .get(usize::from(key.0))
@@ -184,7 +184,7 @@
         }
     }
 
-    /// All accepting endpoints of a service.
+    /// The endpoints of a service that accept new flows.
     pub fn accepting(&self, service: ServiceId) -> impl Iterator<Item = &Endpoint> {
         let keys = self.choices.get(&service).map(|choices| &choices.keys);
         keys.into_iter()
--- a/crates/steering/src/refusal.rs
+++ b/crates/steering/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Replies to packets whose flow has no endpoint.
+//! Replies to refused packets.
 
 use std::net::IpAddr;
 
--- a/crates/steering/src/replication.rs
+++ b/crates/steering/src/replication.rs
@@ -35,28 +35,28 @@
 /// A flow's own packets copy it as well; this covers the flows without packets.
 #[derive(Clone, Debug)]
 pub struct Replication {
-    began: Duration,
     /// Number of bytes that may be sent now.
     credit: u32,
     cursor: u32,
     /// Whether the current pass has skipped no flow.
     clean: bool,
     complete: bool,
-    last: Duration,
+    last_run: Duration,
     rate: u32,
+    restarted_at: Duration,
 }
 
 impl Replication {
     /// Creates the state of an entry that has just started.
     pub const fn new(now: Duration) -> Self {
         Self {
-            began: now,
             clean: true,
             complete: false,
             credit: 0,
             cursor: 0,
-            last: now,
+            last_run: now,
             rate: BYTES_PER_SECOND,
+            restarted_at: now,
         }
     }
 
@@ -67,7 +67,7 @@
 
     /// Restarts the scan after a change of the view.
     pub const fn restart(&mut self, now: Duration) {
-        self.began = now;
+        self.restarted_at = now;
         self.clean = true;
         self.complete = false;
         self.cursor = 0;
@@ -86,8 +86,8 @@
         flows: &mut Flows,
         copies: &mut Vec<(InstanceId, FlowCopy)>,
     ) {
-        let step = now.saturating_sub(self.last).min(MAX_STEP);
-        self.last = now;
+        let step = now.saturating_sub(self.last_run).min(MAX_STEP);
+        self.last_run = now;
         self.add_credit(step, view.leaving());
         let due = step.as_millis().saturating_mul(SCAN_PER_MS);
         let count = u32::try_from(due).unwrap_or(u32::MAX);
@@ -139,7 +139,7 @@
         if !record.owned() || record.epoch == view.epoch() {
             return;
         }
-        let early = now < self.began + PACKET_GRACE && !view.leaving();
+        let early = now < self.restarted_at + PACKET_GRACE && !view.leaving();
         match missing_copy(view, &record) {
             Some(_) if early || self.credit < COPY_BYTES => self.clean = false,
             Some(_) => {
--- a/crates/steering/src/view.rs
+++ b/crates/steering/src/view.rs
@@ -1,4 +1,4 @@
-//! The entries known to one of them, and the flows that each owns.
+//! An entry's view of the known entries, and the owners of each flow.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 /// Time after the start at which an entry that knows no other assumes that it is the only one.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The entries known to one of them, including itself.
+/// An entry's view of the known entries, including itself.
 #[derive(Clone, Debug)]
 pub struct View {
     /// Increases with each change that moves flows; wraps around.
@@ -119,16 +119,16 @@
     /// The first owner of a flow, which places it: the highest-ranked entry of the highest-ranked
     /// data centre.
     pub fn first_owner(&self, flow: FlowId) -> InstanceId {
-        self.best(flow, |_| true)
+        self.highest_ranked(flow, |_| true)
             .map_or(self.own.id, |peer| peer.id)
     }
 
     /// The two owners of a flow, in different data centres where possible.
     pub fn owners(&self, flow: FlowId) -> [Option<&Peer>; 2] {
-        let first = self.best(flow, |_| true);
+        let first = self.highest_ranked(flow, |_| true);
         let second = first.and_then(|first| {
-            self.best(flow, |peer| peer.centre != first.centre)
-                .or_else(|| self.best(flow, |peer| peer.id != first.id))
+            self.highest_ranked(flow, |peer| peer.centre != first.centre)
+                .or_else(|| self.highest_ranked(flow, |peer| peer.id != first.id))
         });
         [first, second]
     }
@@ -147,7 +147,7 @@
         let mut others = owners.filter(|owner| owner.id != self.own.id);
         others
             .find(|owner| owner.reachable)
-            .or_else(|| self.best(flow, |peer| peer.reachable && peer.id != self.own.id))
+            .or_else(|| self.highest_ranked(flow, |peer| peer.reachable && peer.id != self.own.id))
     }
 
     /// The highest-ranked reachable entry that has not been queried about a flow, owners first;
@@ -157,14 +157,16 @@
             |peer: &Peer| peer.reachable && peer.id != self.own.id && !visited.contains(peer.id);
         let owners = self.owners(flow).into_iter().flatten();
         let mut owners = owners.filter(|owner| candidate(owner));
-        let best = owners.next().or_else(|| self.best(flow, candidate));
-        // Leaving entries own no flows any more but still know theirs.
+        let best = owners
+            .next()
+            .or_else(|| self.highest_ranked(flow, candidate));
+        // Leaving entries own no flows any more but still hold their records.
         let leaving = |peer: &&Peer| peer.leaving && candidate(peer);
         best.or_else(|| self.peers.iter().find(leaving))
             .map(|peer| peer.id)
     }
 
-    fn best(&self, flow: FlowId, predicate: impl Fn(&Peer) -> bool) -> Option<&Peer> {
+    fn highest_ranked(&self, flow: FlowId, predicate: impl Fn(&Peer) -> bool) -> Option<&Peer> {
         self.peers
             .iter()
             .chain([&self.own])
--- a/crates/steering/tests/bounds.rs
+++ b/crates/steering/tests/bounds.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn handle_packet_silent_flow() {
+fn tick_idle_flows() {
     let mut machine = machine(64);
     machine.handle_packet(NOW, &packet(1, Phase::Opens));
     machine.handle_packet(NOW, &packet(1, Phase::Follows));
@@ -154,15 +154,15 @@
         .ack(1234)
         .write(&mut packet, b"hello")
         .unwrap();
-    let answer = refusal(&packet).unwrap().unwrap();
-    let sliced = SlicedPacket::from_ip(&answer[4..]).unwrap();
+    let reply = refusal(&packet).unwrap().unwrap();
+    let sliced = SlicedPacket::from_ip(&reply[4..]).unwrap();
     let Some(TransportSlice::Tcp(tcp)) = sliced.transport else {
         panic!("not TCP");
     };
     assert!(tcp.rst() && !tcp.ack());
     assert_eq!((tcp.source_port(), tcp.destination_port()), (4000, 4001));
     assert_eq!(tcp.sequence_number(), 1234);
-    assert_eq!(refusal(&answer[4..]).unwrap(), None);
+    assert_eq!(refusal(&reply[4..]).unwrap(), None);
 }
 
 #[test]
@@ -172,8 +172,8 @@
         .udp(4001, 4000)
         .write(&mut packet, b"hello")
         .unwrap();
-    let answer = refusal(&packet).unwrap().unwrap();
-    let sliced = SlicedPacket::from_ip(&answer[4..]).unwrap();
+    let reply = refusal(&packet).unwrap().unwrap();
+    let sliced = SlicedPacket::from_ip(&reply[4..]).unwrap();
     let Some(TransportSlice::Icmpv4(icmp)) = sliced.transport else {
         panic!("not ICMP");
     };
--- a/crates/steering/tests/driver/mod.rs
+++ b/crates/steering/tests/driver/mod.rs
@@ -92,7 +92,7 @@
     pub entries: Vec<Entry<S>>,
     /// Entries that are partitioned from all others.
     isolated: BTreeSet<usize>,
-    make: fn(Duration, Peer, u64) -> S,
+    new_machine: fn(Duration, Peer, u64) -> S,
     pub now: Duration,
     pub rng: ChaCha8Rng,
     pub traffic: Traffic,
@@ -100,13 +100,13 @@
 }
 
 impl<S: Steer> Driver<S> {
-    pub fn new(seed: u64, make: fn(Duration, Peer, u64) -> S) -> Self {
+    pub fn new(seed: u64, new_machine: fn(Duration, Peer, u64) -> S) -> Self {
         Self {
             counts: Counts::default(),
             cuts: BTreeSet::new(),
             entries: Vec::new(),
             isolated: BTreeSet::new(),
-            make,
+            new_machine,
             now: Duration::ZERO,
             rng: ChaCha8Rng::seed_from_u64(seed),
             traffic: Traffic::with_udp(25),
@@ -125,7 +125,7 @@
             id: InstanceId::new(&name),
             incarnation: 1,
             lag,
-            machine: (self.make)(self.now, own(centre, &name, 1), index as u64),
+            machine: (self.new_machine)(self.now, own(centre, &name, 1), index as u64),
             name,
             up: true,
         };
@@ -144,7 +144,7 @@
         let entry = &mut self.entries[index];
         entry.incarnation += 1;
         let own = own(entry.centre, &entry.name, entry.incarnation);
-        entry.machine = (self.make)(now, own, index as u64 + 100);
+        entry.machine = (self.new_machine)(now, own, index as u64 + 100);
         entry.machine.set_endpoints(now, &endpoints);
         entry.endpoints = endpoints;
         entry.up = true;
@@ -185,8 +185,8 @@
         self.publish_peers(DETECTION);
     }
 
-    /// Partitions some entries from all others, with one flow in four on their side; none ends the
-    /// partition.
+    /// Partitions some entries from all others, with one flow in four on their side; an empty list
+    /// ends the partition.
     pub fn partition(&mut self, isolated: &[usize]) {
         let healing = isolated.is_empty();
         self.isolated = isolated.iter().copied().collect();
