--- a/crates/directory/tests/reuse.rs
+++ b/crates/directory/tests/reuse.rs
@@ -17,9 +17,9 @@
 use mimosausher_directory::{
     Directory,
     Endpoint,
-    REBIND_DELAY, //
+    REBIND_DELAY,
     Report,
-    State,
+    State, //
 };
 use pathfinding::directed::bfs::bfs_reach;
 
@@ -55,6 +55,7 @@
     in_flight: Vec<Message>,
     instances: [Directory; 2],
     now: Duration,
+    /// Whether the second endpoint has taken over the address.
     second: bool,
     step: u64,
 }
@@ -83,7 +84,7 @@
         let mut instances = [Directory::new(), Directory::new()];
         for instance in &mut instances {
             instance.tick(START);
-            let report = Report::new(endpoint(false, 0)).with_bound(REBIND_DELAY);
+            let report = Report::new(endpoint(false, 0)).with_bound_for(REBIND_DELAY);
             instance.announce(START, report).unwrap();
         }
         Self {
@@ -112,7 +113,7 @@
             let key = instance.key(name)?;
             let report = instance.report(self.now, key)?;
             let used = instance.get(key).is_some();
-            Some((used, report.age, report.bound, report.endpoint.sequence))
+            Some((used, report.age, report.bound_for, report.endpoint.sequence))
         };
         let instances = self
             .instances
@@ -124,7 +125,7 @@
             .map(|message| {
                 let endpoint = &message.report.endpoint;
                 let order = (endpoint.name.clone(), endpoint.sequence);
-                (message.to, order, message.report.bound, message.sent)
+                (message.to, order, message.report.bound_for, message.sent)
             })
             .collect();
         in_flight.sort();
--- a/crates/steering/tests/driver/mod.rs
+++ b/crates/steering/tests/driver/mod.rs
@@ -15,10 +15,10 @@
 
 use mimosausher_steering::{
     Action,
-    Arrival,
-    Copied,
     Endpoint,
     EndpointId,
+    FlowCopy,
+    FlowPacket,
     InstanceId,
     Peer,
     Steer, //
@@ -92,7 +92,7 @@
     pub entries: Vec<Entry<S>>,
     /// Entries that are partitioned from all others.
     isolated: BTreeSet<usize>,
-    make: fn(Duration, Peer, u64) -> S,
+    new_machine: fn(Duration, Peer, u64) -> S,
     pub now: Duration,
     pub rng: ChaCha8Rng,
     pub traffic: Traffic,
@@ -100,13 +100,13 @@
 }
 
 impl<S: Steer> Driver<S> {
-    pub fn new(seed: u64, make: fn(Duration, Peer, u64) -> S) -> Self {
+    pub fn new(seed: u64, new_machine: fn(Duration, Peer, u64) -> S) -> Self {
         Self {
             counts: Counts::default(),
             cuts: BTreeSet::new(),
             entries: Vec::new(),
             isolated: BTreeSet::new(),
-            make,
+            new_machine,
             now: Duration::ZERO,
             rng: ChaCha8Rng::seed_from_u64(seed),
             traffic: Traffic::with_udp(25),
@@ -125,12 +125,12 @@
             id: InstanceId::new(&name),
             incarnation: 1,
             lag,
-            machine: (self.make)(self.now, own(centre, &name, 1), index as u64),
+            machine: (self.new_machine)(self.now, own(centre, &name, 1), index as u64),
             name,
             up: true,
         };
         let endpoints = self.world.endpoints(self.now, self.now);
-        entry.machine.endpoints(self.now, &endpoints);
+        entry.machine.set_endpoints(self.now, &endpoints);
         entry.endpoints = endpoints;
         self.entries.push(entry);
         self.publish_peers(Duration::ZERO);
@@ -144,8 +144,8 @@
         let entry = &mut self.entries[index];
         entry.incarnation += 1;
         let own = own(entry.centre, &entry.name, entry.incarnation);
-        entry.machine = (self.make)(now, own, index as u64 + 100);
-        entry.machine.endpoints(now, &endpoints);
+        entry.machine = (self.new_machine)(now, own, index as u64 + 100);
+        entry.machine.set_endpoints(now, &endpoints);
         entry.endpoints = endpoints;
         entry.up = true;
         entry.frozen = false;
@@ -165,7 +165,7 @@
         self.world.leaving.insert(index);
         self.publish_peers(Duration::ZERO);
         let start = self.now;
-        while !self.entries[index].machine.left() {
+        while !self.entries[index].machine.handed_off() {
             assert!(
                 self.now < start + Duration::from_secs(60),
                 "the entry never handed off its flows"
@@ -185,8 +185,8 @@
         self.publish_peers(DETECTION);
     }
 
-    /// Partitions some entries from all others, with one flow in four on their side; none ends the
-    /// partition.
+    /// Partitions some entries from all others, with one flow in four on their side; an empty list
+    /// ends the partition.
     pub fn partition(&mut self, isolated: &[usize]) {
         let healing = isolated.is_empty();
         self.isolated = isolated.iter().copied().collect();
@@ -218,33 +218,29 @@
     }
 
     /// Sends a packet to a random entry that it can reach.
-    pub fn send_to_random(&mut self, arrival: &Arrival) -> Outcome {
-        let isolated = arrival.flow.0.is_multiple_of(4);
+    pub fn send_to_random(&mut self, packet: &FlowPacket) -> Outcome {
+        let isolated = packet.flow.0.is_multiple_of(4);
         let up: Vec<_> = (0..self.entries.len())
             .filter(|index| self.isolated.is_empty() || self.isolated.contains(index) == isolated)
             .filter(|index| self.entries[*index].up && !self.entries[*index].frozen)
             .collect();
         let index = up[self.rng.random_range(0..up.len())];
-        self.send(index, arrival)
+        self.send(index, packet)
     }
 
     /// Sends a packet to an entry and follows it to its outcome.
-    pub fn send(&mut self, index: usize, arrival: &Arrival) -> Outcome {
+    pub fn send(&mut self, index: usize, packet: &FlowPacket) -> Outcome {
         let now = self.now;
         let mut at = index;
         let mut hops = 0;
-        let mut action = self.entries[at].machine.packet(now, arrival);
+        let mut action = self.entries[at].machine.handle_packet(now, packet);
         self.counts.packets += 1;
         let outcome = loop {
             match action {
                 Action::Drop(_) => break Outcome::Lost,
                 Action::Forward(endpoint) if !self.knows(at, endpoint) => break Outcome::Lost,
                 Action::Forward(endpoint) => break Outcome::Delivered(endpoint),
-                Action::Hint(endpoint, to) => {
-                    self.hint(at, to, arrival, endpoint);
-                    break Outcome::Delivered(endpoint);
-                }
-                Action::Pass(to, header) => {
+                Action::HandOver(to, header) => {
                     hops += 1;
                     assert!(hops <= 32, "a packet is handed over in a loop");
                     let Some(next) = self.reachable(at, to) else {
@@ -252,7 +248,13 @@
                     };
                     let from = self.entries[at].id;
                     at = next;
-                    action = self.entries[at].machine.handed(now, from, arrival, header);
+                    action = self.entries[at]
+                        .machine
+                        .handle_handover(now, from, packet, header);
+                }
+                Action::Hint(endpoint, to) => {
+                    self.hint(at, to, packet, endpoint);
+                    break Outcome::Delivered(endpoint);
                 }
                 Action::Refuse(_) => break Outcome::Refused,
             }
@@ -268,17 +270,19 @@
         entry.endpoints.iter().any(|endpoint| endpoint.id == id)
     }
 
-    fn hint(&mut self, at: usize, to: InstanceId, arrival: &Arrival, endpoint: EndpointId) {
+    fn hint(&mut self, at: usize, to: InstanceId, packet: &FlowPacket, endpoint: EndpointId) {
         self.counts.control_bytes += (UDP_BYTES + 26) as u64;
-        let copy = Copied {
+        let copy = FlowCopy {
             endpoint,
-            flow: arrival.flow,
-            service: arrival.service,
+            flow: packet.flow,
+            service: packet.service,
         };
         let from = self.entries[at].id;
         if let Some(next) = self.reachable(at, to) {
             let now = self.now;
-            self.entries[next].machine.copied(now, from, &[copy]);
+            self.entries[next]
+                .machine
+                .receive_copies(now, from, &[copy]);
         }
     }
 
@@ -324,13 +328,13 @@
             let seen = self.now.saturating_sub(entry.lag);
             let endpoints = self.world.endpoints(self.now, seen);
             if endpoints != entry.endpoints {
-                entry.machine.endpoints(self.now, &endpoints);
+                entry.machine.set_endpoints(self.now, &endpoints);
                 entry.endpoints = endpoints;
             }
             let peers = self.world.peers.iter().rev();
             let mut known = peers.filter(|(time, _)| *time <= seen);
             if let Some(peers) = known.find_map(|(_, peers)| peers.get(index)) {
-                entry.machine.peers(self.now, peers);
+                entry.machine.set_peers(self.now, peers);
             }
         }
     }
@@ -347,7 +351,9 @@
             let from = self.entries[index].id;
             for (to, copy) in copies {
                 if let Some(next) = self.reachable(index, to) {
-                    self.entries[next].machine.copied(now, from, &[copy]);
+                    self.entries[next]
+                        .machine
+                        .receive_copies(now, from, &[copy]);
                 }
             }
         }
@@ -365,7 +371,7 @@
 }
 
 /// Bytes of the messages that carry the copies.
-fn wire_bytes(copies: &[(InstanceId, Copied)]) -> usize {
+fn wire_bytes(copies: &[(InstanceId, FlowCopy)]) -> usize {
     let messages: BTreeSet<_> = copies.iter().map(|(to, _)| *to).collect();
     let groups: BTreeSet<_> = copies
         .iter()
