--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -20,7 +20,7 @@
         HeaderValue, //
     },
 };
-use process::Handler;
+use process::HttpHandler;
 use serde::{
     Serialize,
     de::DeserializeOwned, //
@@ -62,7 +62,7 @@
     }
 }
 
-impl Handler for AdminHandler {
+impl HttpHandler for AdminHandler {
     type Body = Full<Bytes>;
 
     fn acceptor(&self) -> Option<TlsAcceptor> {
--- a/crates/daemon/src/auth.rs
+++ b/crates/daemon/src/auth.rs
@@ -15,7 +15,7 @@
     Request,
     header::AUTHORIZATION, //
 };
-use process::Peer;
+use process::PeerAddress;
 use ring::digest::{
     SHA256,
     digest, //
@@ -119,8 +119,8 @@
     /// Returns the sender of a request; none if a key is required and no known key is given.
     fn principal<B>(&self, request: &Request<B>) -> Option<Principal> {
         let Some(keys) = &self.keys else {
-            let peer = request.extensions().get::<Peer>();
-            return match peer.is_some_and(|Peer(address)| is_local(address.ip())) {
+            let peer = request.extensions().get::<PeerAddress>();
+            return match peer.is_some_and(|PeerAddress(address)| is_local(address.ip())) {
                 true => Some(Principal::Local),
                 false => Some(Principal::Remote),
             };
--- a/crates/daemon/src/flow_maintenance.rs
+++ b/crates/daemon/src/flow_maintenance.rs
@@ -40,7 +40,7 @@
 /// Does the background work until a graceful shutdown has handed over the flows.
 pub async fn run(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut last = node.now();
-    while !node.stop.begun() {
+    while !node.shutdown.begun() {
         tick(&node, &socket, &mut last).await;
         compio::time::sleep(TICK).await;
     }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -14,7 +14,7 @@
 use event_listener::Event;
 use membership::Members;
 use process::{
-    Stop,
+    Shutdown,
     epoch_millis, //
 };
 use replica::Replica;
@@ -71,7 +71,7 @@
     /// Distribution of the document to this instance and to followers.
     pub document_sync: DocumentSync,
     /// The graceful shutdown.
-    pub stop: Rc<Stop>,
+    pub shutdown: Rc<Shutdown>,
 }
 
 impl Node {
@@ -119,7 +119,7 @@
             settings,
             socket: OnceCell::new(),
             document_sync: DocumentSync::default(),
-            stop: Rc::default(),
+            shutdown: Rc::default(),
         };
         Ok((node, folder))
     }
@@ -141,6 +141,6 @@
         let stored = self.replica.is_some();
         let revision = self.view.configuration.borrow().revision();
         let confirmed = self.document_sync.follower.borrow().confirmed();
-        (stored || (confirmed && revision > 0)) && !self.stop.begun()
+        (stored || (confirmed && revision > 0)) && !self.shutdown.begun()
     }
 }
--- a/crates/daemon/src/requests.rs
+++ b/crates/daemon/src/requests.rs
@@ -10,7 +10,7 @@
     StatusCode,
     body::Incoming, //
 };
-use process::Handler;
+use process::HttpHandler;
 
 use crate::{
     attempt,
@@ -39,7 +39,7 @@
     }
 }
 
-impl Handler for RequestHandler {
+impl HttpHandler for RequestHandler {
     type Body = ResponseBody;
 
     fn handle(
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -17,8 +17,8 @@
 };
 use miette::Report;
 use process::{
-    Handlers,
     Signal,
+    SignalHandlers,
     Signals, //
 };
 use settings::Settings;
@@ -72,7 +72,7 @@
         eprintln!("mimosausherd: a settings file is needed; see --help");
         return Exit::Usage;
     };
-    let handlers = match Handlers::new() {
+    let handlers = match SignalHandlers::new() {
         Ok(handlers) => handlers,
         Err(error) => {
             eprintln!("mimosausherd: {error}");
@@ -98,7 +98,7 @@
     }
 }
 
-fn start(settings: Settings, handlers: Handlers) -> Result<(), Error> {
+fn start(settings: Settings, handlers: SignalHandlers) -> Result<(), Error> {
     let _log = logging::start(&settings.log)?;
     let timers = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -110,7 +110,7 @@
 }
 
 /// Runs all roles until the graceful shutdown is complete.
-async fn serve(settings: Settings, handlers: Handlers) -> Result<(), Error> {
+async fn serve(settings: Settings, handlers: SignalHandlers) -> Result<(), Error> {
     let signals = Signals::new(handlers).map_err(Error::Runtime)?;
     let listeners = Listeners::open(&settings.listen).await?;
     let addresses = listeners.addresses().map_err(Error::Runtime)?;
@@ -128,7 +128,7 @@
     spawn(follower::follow(node.clone())).detach();
     spawn(stop_on_signal(node.clone(), signals)).detach();
     let admin = process::serve(
-        node.stop.clone(),
+        node.shutdown.clone(),
         listeners.admin,
         AdminHandler::new(node.clone()),
     );
@@ -140,7 +140,11 @@
         spawn(fabric::forward(node.clone(), fabric.clone())).detach();
         let flows = spawn(flow_maintenance::run(node.clone(), fabric));
         let handler = RequestHandler::new(node.clone());
-        let requests = spawn(process::serve(node.stop.clone(), entry.requests, handler));
+        let requests = spawn(process::serve(
+            node.shutdown.clone(),
+            entry.requests,
+            handler,
+        ));
         (flows, requests)
     });
     if let Ok(line) = serde_json::to_string(&node.addresses) {
@@ -164,12 +168,12 @@
             Ok(Signal::Reload) => {
                 log::info!("ignoring SIGHUP: the settings are read at start-up only")
             }
-            Ok(Signal::Stop) if node.stop.begun() => {
+            Ok(Signal::Stop) if node.shutdown.begun() => {
                 log::info!("the shutdown is already in progress")
             }
             Ok(Signal::Stop) => {
                 log::info!("stopping");
-                node.stop.begin();
+                node.shutdown.begin();
                 datagrams::leave(&node).await;
             }
             Err(error) => return log::error!("cannot receive signals: {error}"),
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -51,7 +51,7 @@
         revision: node.view.configuration.borrow().revision(),
         running: node.pools.running_total(),
         services: services(node),
-        stopping: node.stop.begun(),
+        stopping: node.shutdown.begun(),
     }
 }
 
--- a/crates/edge/src/admin.rs
+++ b/crates/edge/src/admin.rs
@@ -23,8 +23,8 @@
     },
 };
 use process::{
-    Handler,
-    Stop,
+    HttpHandler,
+    Shutdown,
     query_value, //
 };
 use serde::Serialize;
@@ -62,7 +62,7 @@
     fn status(&self) -> Status;
 
     /// The graceful shutdown.
-    fn stop(&self) -> &Rc<Stop>;
+    fn shutdown(&self) -> &Rc<Shutdown>;
 }
 
 /// Serves the pages for operators if the settings name a port. A failure to listen is only logged.
@@ -74,8 +74,8 @@
     let address = SocketAddrV4::new(settings.address, port);
     match TcpListener::bind(address).await {
         Ok(listener) => {
-            let stop = process.stop().clone();
-            spawn(process::serve(stop, listener, AdminHandler { process })).detach();
+            let shutdown = process.shutdown().clone();
+            spawn(process::serve(shutdown, listener, AdminHandler { process })).detach();
         }
         Err(error) => log::warn!(port; "cannot serve the metrics: {error}"),
     }
@@ -95,7 +95,7 @@
     }
 }
 
-impl<D: Inspect> Handler for AdminHandler<D> {
+impl<D: Inspect> HttpHandler for AdminHandler<D> {
     type Body = Full<Bytes>;
 
     fn handle(
--- a/crates/edge/src/control.rs
+++ b/crates/edge/src/control.rs
@@ -25,8 +25,8 @@
     http::request::Parts,
 };
 use process::{
-    Handler,
-    Peer,
+    HttpHandler,
+    PeerAddress,
     epoch_millis, //
 };
 use store::{
@@ -78,7 +78,7 @@
     }
 }
 
-impl<B: Border> Handler for ControlHandler<B> {
+impl<B: Border> HttpHandler for ControlHandler<B> {
     type Body = Full<Bytes>;
 
     fn handle(
@@ -197,7 +197,7 @@
     body: Bytes,
 ) -> Result<Reply, Refusal> {
     let version = B::document(&body)?.version;
-    let client = parts.extensions.get::<Peer>();
+    let client = parts.extensions.get::<PeerAddress>();
     let author = client.map_or(String::new(), |peer| peer.0.ip().to_string());
     let publication = Publication::new(version, &body).with_author(&author, epoch_millis());
     let known = state.replica.borrow().ledger().compare(&publication);
--- a/crates/edge/src/entry.rs
+++ b/crates/edge/src/entry.rs
@@ -10,7 +10,7 @@
     time::Duration, //
 };
 
-use process::Stop;
+use process::Shutdown;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
@@ -35,7 +35,7 @@
     /// Internal addresses of the seed stores.
     pub seeds: RefCell<Vec<SocketAddrV4>>,
     pub settings: Settings,
-    pub stop: Rc<Stop>,
+    pub shutdown: Rc<Shutdown>,
     pub view: RefCell<View>,
     /// When the last packet arrived.
     pub packet_at: Cell<Duration>,
@@ -52,7 +52,7 @@
             packet_at: Cell::default(),
             random: RefCell::new(ChaCha8Rng::seed_from_u64(rand::random())),
             seeds: RefCell::new(settings.seed_addresses()),
-            stop: Rc::default(),
+            shutdown: Rc::default(),
             view: RefCell::new(View::new(locality, settings.heartbeat() + LEARNING_MARGIN)),
             settings,
         }
@@ -60,6 +60,6 @@
 
     /// Whether the entry is ready for packets of routers.
     pub fn ready(&self) -> bool {
-        !self.stop.begun() && self.view.borrow().ready()
+        !self.shutdown.begun() && self.view.borrow().ready()
     }
 }
--- a/crates/edge/src/readiness.rs
+++ b/crates/edge/src/readiness.rs
@@ -13,7 +13,7 @@
         Incoming, //
     },
 };
-use process::Handler;
+use process::HttpHandler;
 
 use crate::{
     adapter::Border,
@@ -43,7 +43,7 @@
     }
 }
 
-impl<B: Border> Handler for ReadinessHandler<B> {
+impl<B: Border> HttpHandler for ReadinessHandler<B> {
     type Body = Full<Bytes>;
 
     fn handle(
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -6,7 +6,7 @@
 };
 
 use compio::runtime::Runtime;
-use process::Handlers;
+use process::SignalHandlers;
 
 use crate::{
     adapter::Border,
@@ -30,7 +30,7 @@
 }
 
 fn start<B: Border>(path: &Path) -> Result<(), Error> {
-    let handlers = Handlers::new().map_err(Error::Runtime)?;
+    let handlers = SignalHandlers::new().map_err(Error::Runtime)?;
     let settings = Settings::read(path)?;
     let _log = logs::start()?;
     let runtime = Runtime::new().map_err(Error::Runtime)?;
--- a/crates/edge/src/run_entry.rs
+++ b/crates/edge/src/run_entry.rs
@@ -19,7 +19,7 @@
 };
 use placement::Phase;
 use process::{
-    Handlers,
+    SignalHandlers,
     Signals, //
 };
 
@@ -53,7 +53,7 @@
 pub async fn serve<B: Border>(
     settings: Settings,
     path: &Path,
-    handlers: Handlers,
+    handlers: SignalHandlers,
 ) -> Result<(), Error> {
     let signals = Signals::new(handlers).map_err(Error::Runtime)?;
     let packets = settings.packets.ok_or(Error::Missing("packets"))?;
@@ -67,7 +67,7 @@
     let port = packets.port();
     spawn(forward::<B>(entry.clone(), socket.clone(), port)).detach();
     spawn(process::serve(
-        entry.stop.clone(),
+        entry.shutdown.clone(),
         listener,
         ReadinessHandler::<B>::new(entry.clone()),
     ))
@@ -77,7 +77,7 @@
     spawn(tick::<B>(entry.clone(), socket, port)).detach();
     let apply = |settings: Settings| *entry.seeds.borrow_mut() = settings.seed_addresses();
     reload_until_stop(signals, path, apply).await?;
-    entry.stop.begin();
+    entry.shutdown.begin();
     drain(&entry).await;
     log::info!("stopped");
     Ok(())
--- a/crates/edge/src/run_store.rs
+++ b/crates/edge/src/run_store.rs
@@ -23,7 +23,7 @@
 };
 use event_listener::Event as Wake;
 use process::{
-    Handlers,
+    SignalHandlers,
     Signals, //
 };
 use replica::{
@@ -80,7 +80,7 @@
 pub async fn serve<B: Border>(
     settings: Settings,
     path: &Path,
-    handlers: Handlers,
+    handlers: SignalHandlers,
 ) -> Result<(), Error> {
     let signals = Signals::new(handlers).map_err(Error::Runtime)?;
     let control = settings.control.ok_or(Error::Missing("control"))?;
@@ -100,7 +100,7 @@
     spawn(endpoint_file::persist(state.clone())).detach();
     spawn(tick(state.clone())).detach();
     let handler = ControlHandler::<B>::new(state.clone());
-    spawn(process::serve(state.stop.clone(), listener, handler)).detach();
+    spawn(process::serve(state.shutdown.clone(), listener, handler)).detach();
     admin::serve(state.clone()).await;
     links::connect_stores(&state, state.settings.seed_addresses());
     let apply = |settings: Settings| {
@@ -108,7 +108,7 @@
         *state.seeds.borrow_mut() = settings.seed_addresses();
     };
     reload_until_stop(signals, path, apply).await?;
-    state.stop.begin();
+    state.shutdown.begin();
     compio::time::sleep(DRAIN_TIME).await;
     log::info!("stopped");
     Ok(())
@@ -180,7 +180,7 @@
         replica: RefCell::new(replica),
         seeds: RefCell::new(seeds),
         settings,
-        stop: Rc::default(),
+        shutdown: Rc::default(),
     };
     Ok((state, folder))
 }
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -13,7 +13,7 @@
 
 use announcements::Registry;
 use event_listener::Event;
-use process::Stop;
+use process::Shutdown;
 use replica::Replica;
 use store::Member;
 
@@ -59,7 +59,7 @@
     /// Internal addresses of the seed stores.
     pub seeds: RefCell<Vec<SocketAddrV4>>,
     pub settings: Settings,
-    pub stop: Rc<Stop>,
+    pub shutdown: Rc<Shutdown>,
 }
 
 impl StoreState {
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -11,7 +11,7 @@
     Endpoint,
     Phase, //
 };
-use process::Stop;
+use process::Shutdown;
 use wire::{
     Addresses,
     Announcement,
@@ -82,12 +82,12 @@
             revision: view.version(),
             running: busy.sum(),
             services: services.into_values().collect(),
-            stopping: self.stop.begun(),
+            stopping: self.shutdown.begun(),
         }
     }
 
-    fn stop(&self) -> &Rc<Stop> {
-        &self.stop
+    fn shutdown(&self) -> &Rc<Shutdown> {
+        &self.shutdown
     }
 }
 
@@ -119,17 +119,17 @@
             instance: instance(&self.settings),
             instances: Vec::new(),
             log: Some(self.log_members()),
-            ready: current && !self.stop.begun(),
+            ready: current && !self.shutdown.begun(),
             refusals: self.metrics.refusals_by_code(),
             revision: published.map_or(0, |publication| publication.version),
             running: 0,
             services: Vec::new(),
-            stopping: self.stop.begun(),
+            stopping: self.shutdown.begun(),
         }
     }
 
-    fn stop(&self) -> &Rc<Stop> {
-        &self.stop
+    fn shutdown(&self) -> &Rc<Shutdown> {
+        &self.shutdown
     }
 }
 
--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -7,22 +7,22 @@
 mod head;
 mod query;
 mod server;
+mod shutdown;
 mod signals;
-mod stop;
 
 pub use crate::{
     code_label::CodeLabel,
     epoch::epoch_millis,
     query::query_value,
     server::{
-        Handler,
-        Peer,
+        HttpHandler,
+        PeerAddress,
         serve, //
     },
+    shutdown::Shutdown,
     signals::{
-        Handlers,
         Signal,
+        SignalHandlers,
         Signals, //
     },
-    stop::Stop,
 };
--- a/crates/process/src/server.rs
+++ b/crates/process/src/server.rs
@@ -45,7 +45,7 @@
 use crate::{
     checked_stream::CheckedStream,
     framing::HEADER_BYTES,
-    stop::Stop, //
+    shutdown::Shutdown, //
 };
 
 /// Time that a client has to send a request's headers or to complete the TLS handshake.
@@ -67,10 +67,10 @@
 
 /// Remote address of a connection, available as an extension of each request.
 #[derive(Clone, Copy, Debug)]
-pub struct Peer(pub SocketAddr);
+pub struct PeerAddress(pub SocketAddr);
 
 /// Handles the requests of one HTTP server.
-pub trait Handler {
+pub trait HttpHandler {
     /// Body of the responses.
     type Body: Body<Data = hyper::body::Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + 'static;
 
@@ -102,22 +102,23 @@
 }
 
 /// Serves requests until the graceful shutdown; returns when all connections are closed.
-pub async fn serve<H: Handler + Clone + 'static>(
-    stop: Rc<Stop>,
+pub async fn serve<H: HttpHandler + Clone + 'static>(
+    shutdown: Rc<Shutdown>,
     listener: TcpListener,
     handler: H,
 ) {
     let open = Rc::new(OpenConnections::default());
     loop {
-        let accepted = match select(pin!(listener.accept()), pin!(wait_drain_delay(&stop))).await {
-            Either::Left((accepted, _)) => accepted,
-            Either::Right(_) => break,
-        };
-        handle_accepted(&stop, &open, accepted, &handler).await;
+        let accepted =
+            match select(pin!(listener.accept()), pin!(wait_drain_delay(&shutdown))).await {
+                Either::Left((accepted, _)) => accepted,
+                Either::Right(_) => break,
+            };
+        handle_accepted(&shutdown, &open, accepted, &handler).await;
     }
     for _ in 0..BACKLOG_LIMIT {
         match compio::time::timeout(BACKLOG_TIMEOUT, listener.accept()).await {
-            Ok(accepted) => handle_accepted(&stop, &open, accepted, &handler).await,
+            Ok(accepted) => handle_accepted(&shutdown, &open, accepted, &handler).await,
             Err(_) => break,
         }
     }
@@ -131,14 +132,16 @@
 }
 
 /// Waits until a graceful shutdown has begun and [`DRAIN_DELAY`] has passed since.
-async fn wait_drain_delay(stop: &Stop) {
-    stop.wait().await;
-    let elapsed = stop.begun_at().map_or(DRAIN_DELAY, |begun| begun.elapsed());
+async fn wait_drain_delay(shutdown: &Shutdown) {
+    shutdown.wait().await;
+    let elapsed = shutdown
+        .begun_at()
+        .map_or(DRAIN_DELAY, |begun| begun.elapsed());
     compio::time::sleep(DRAIN_DELAY.saturating_sub(elapsed)).await;
 }
 
-async fn handle_accepted<H: Handler + Clone + 'static>(
-    stop: &Rc<Stop>,
+async fn handle_accepted<H: HttpHandler + Clone + 'static>(
+    shutdown: &Rc<Shutdown>,
     open: &Rc<OpenConnections>,
     accepted: io::Result<(TcpStream, SocketAddr)>,
     handler: &H,
@@ -146,8 +149,8 @@
     match accepted {
         Ok((stream, peer)) => {
             open.count.set(open.count.get() + 1);
-            let (stop, open) = (stop.clone(), open.clone());
-            let task = serve_connection(stop, open, stream, Peer(peer), handler.clone());
+            let (shutdown, open) = (shutdown.clone(), open.clone());
+            let task = serve_connection(shutdown, open, stream, PeerAddress(peer), handler.clone());
             compio::runtime::spawn(task).detach();
         }
         Err(error) => {
@@ -157,20 +160,20 @@
     }
 }
 
-async fn serve_connection<H: Handler + 'static>(
-    stop: Rc<Stop>,
+async fn serve_connection<H: HttpHandler + 'static>(
+    shutdown: Rc<Shutdown>,
     open: Rc<OpenConnections>,
     stream: TcpStream,
-    peer: Peer,
+    peer: PeerAddress,
     handler: H,
 ) {
     let service = service_fn(|mut request: Request<Incoming>| {
         request.extensions_mut().insert(peer);
         let response = handler.handle(request);
-        let stop = stop.clone();
+        let shutdown = shutdown.clone();
         async move {
             let mut response = response.await;
-            if stop.begun() {
+            if shutdown.begun() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
@@ -186,7 +189,7 @@
         .max_buf_size(HEADER_BYTES)
         .serve_connection(CheckedStream::new(stream), service);
     let mut connection = pin!(connection);
-    let result = match select(connection.as_mut(), pin!(wait_drain_delay(&stop))).await {
+    let result = match select(connection.as_mut(), pin!(wait_drain_delay(&shutdown))).await {
         Either::Left((result, _)) => result,
         Either::Right(_) => {
             connection.as_mut().graceful_shutdown();
--- a/crates/process/src/stop.rs
+++ b/crates/process/src/shutdown.rs
@@ -9,12 +9,12 @@
 
 /// Notifies all tasks of the process when a graceful shutdown begins.
 #[derive(Debug, Default)]
-pub struct Stop {
+pub struct Shutdown {
     begun: Cell<Option<Instant>>,
     event: Event,
 }
 
-impl Stop {
+impl Shutdown {
     /// Begins the shutdown; later calls keep the time of the first.
     pub fn begin(&self) {
         if !self.begun() {
--- a/crates/process/src/signals.rs
+++ b/crates/process/src/signals.rs
@@ -40,13 +40,13 @@
 ///
 /// They stay installed until the process exits, so that a later signal never terminates it.
 #[derive(Debug)]
-pub struct Handlers {
+pub struct SignalHandlers {
     reader: StdUnixStream,
     reload: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
 }
 
-impl Handlers {
+impl SignalHandlers {
     /// Installs the handlers. A process calls this first: a signal that arrives earlier terminates
     /// it.
     ///
@@ -81,13 +81,13 @@
 }
 
 impl Signals {
-    /// Creates the receiver, which also reports signals caught since [`Handlers::new`]. Needs a
-    /// running runtime.
+    /// Creates the receiver, which also reports signals caught since [`SignalHandlers::new`]. Needs
+    /// a running runtime.
     ///
     /// # Errors
     ///
     /// The system error.
-    pub fn new(handlers: Handlers) -> io::Result<Self> {
+    pub fn new(handlers: SignalHandlers) -> io::Result<Self> {
         Ok(Self {
             reload: handlers.reload,
             stop: handlers.stop,
