--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -47,7 +47,7 @@
 };
 
 /// Maximum size of a request body, in bytes.
-const BODY_BYTES: usize = 4 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 /// Handles the requests of operators, endpoints and monitoring.
 #[derive(Clone, Debug)]
@@ -191,7 +191,7 @@
     request: Request<Incoming>,
     code: Code,
 ) -> Result<T, ErrorResponse> {
-    let body = Limited::new(request.into_body(), BODY_BYTES)
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES)
         .collect()
         .await
         .map_err(|error| ErrorResponse::new(code, error.to_string()))?;
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -94,7 +94,7 @@
             },
         };
         match send_on(node, parsed, address, sender).await {
-            // Nothing of the request was sent on an idle connection that had been closed.
+            // The idle connection was closed and nothing was sent on it, so another one is tried.
             Attempt::NotRun(Outcome::Unreachable) if reused && parsed.body.is_some() => {}
             attempt => return attempt,
         }
--- a/crates/daemon/src/claims.rs
+++ b/crates/daemon/src/claims.rs
@@ -205,7 +205,8 @@
             .is_some_and(|member| member.incarnation == id.incarnation)
     }
 
-    /// Queries the stores whether any document was ever in force; returns whether one of them knew.
+    /// Queries the stores for whether any document was ever in force; returns whether one of them
+    /// gave a definite answer.
     ///
     /// If there was none, no request can have run, so this entry has missed no claim.
     pub async fn query_unused(&self) -> bool {
--- a/crates/daemon/src/convert.rs
+++ b/crates/daemon/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between the types of the RPC protocol and those of the store and the steering.
+//! Conversions between the types of the wire protocol and those of the store and the steering.
 
 use std::{
     collections::BTreeMap,
--- a/crates/daemon/src/convert_change.rs
+++ b/crates/daemon/src/convert_change.rs
@@ -1,4 +1,4 @@
-//! Conversions between the sections of the RPC protocol and those of the configuration.
+//! Conversions between the sections of the wire protocol and those of the configuration.
 
 use configuration::{
     Change,
--- a/crates/daemon/src/convert_claims.rs
+++ b/crates/daemon/src/convert_claims.rs
@@ -1,4 +1,4 @@
-//! Conversions between the claims of the RPC protocol and those of the dispatch.
+//! Conversions between the claims of the wire protocol and those of the dispatch.
 
 use dispatch::{
     Claim,
--- a/crates/daemon/src/convert_endpoint.rs
+++ b/crates/daemon/src/convert_endpoint.rs
@@ -1,4 +1,4 @@
-//! Conversions between the announcements of the RPC protocol and those of the directory.
+//! Conversions between the announcements of the wire protocol and those of the directory.
 
 use std::time::Duration;
 
@@ -69,8 +69,9 @@
     }
 }
 
-/// Converts a batch to the wire. Ages are rounded up; durations that an endpoint guarantees are
-/// rounded down.
+/// Converts a batch to the wire. Ages are upper bounds and are rounded up; the times for which
+/// an endpoint has held its address and has been ready are rounded down, so that they are never
+/// overstated.
 pub fn batch_to_wire(from: &Batch) -> wire::Batch {
     wire::Batch {
         echo: from
--- a/crates/daemon/src/convert_member.rs
+++ b/crates/daemon/src/convert_member.rs
@@ -1,4 +1,4 @@
-//! Conversions between the instances of the RPC protocol and those of the membership.
+//! Conversions between the instances of the wire protocol and those of the membership.
 
 use membership::{
     Body,
--- a/crates/daemon/src/datagrams.rs
+++ b/crates/daemon/src/datagrams.rs
@@ -144,7 +144,7 @@
     }
 }
 
-/// Updates the peers that announcements are relayed to from the current membership.
+/// Sets the peers of the relay to those in the current membership.
 fn update_peers(node: &Node) {
     let peers = peers(&node.view.members.borrow());
     node.relay.borrow_mut().set_peers(node.now(), peers);
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -38,7 +38,7 @@
         setting: &'static str,
     },
     /// The logger could not be started.
-    #[error("cannot start the log: {0}")]
+    #[error("cannot start the logger: {0}")]
     Log(#[from] flexi_logger::FlexiLoggerError),
     /// The runtime could not be started.
     #[error("cannot start the runtime: {0}")]
--- a/crates/daemon/src/log_members.rs
+++ b/crates/daemon/src/log_members.rs
@@ -102,8 +102,8 @@
     let deadline = node.now() + JOIN_TIMEOUT;
     loop {
         let voter = |members: LogMembers| {
-            let mut others = members.members.into_iter();
-            others.any(|member| member.name == store.name && member.voter)
+            let mut members = members.members.into_iter();
+            members.any(|member| member.name == store.name && member.voter)
         };
         if voter(show(node)?) {
             return Ok(());
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -138,9 +138,9 @@
     /// instance also needs a document in force that a quorum of the stores has confirmed since its
     /// start.
     pub fn ready(&self) -> bool {
-        let stored = self.replica.is_some();
+        let is_store = self.replica.is_some();
         let revision = self.view.configuration.borrow().revision();
         let confirmed = self.document_sync.follower.borrow().confirmed();
-        (stored || (confirmed && revision > 0)) && !self.shutdown.begun()
+        (is_store || (confirmed && revision > 0)) && !self.shutdown.begun()
     }
 }
--- a/crates/daemon/src/raft_transport.rs
+++ b/crates/daemon/src/raft_transport.rs
@@ -69,18 +69,18 @@
 
     /// Queues a message for the store at `address`; delivery is not guaranteed.
     pub fn send(&mut self, address: SocketAddr, bytes: Vec<u8>) {
-        let peer = self.queues.entry(address).or_insert_with(|| {
-            let peer = Rc::new(PeerQueue::default());
-            let task = deliver(self.node.clone(), address, peer.clone());
+        let queue = self.queues.entry(address).or_insert_with(|| {
+            let queue = Rc::new(PeerQueue::default());
+            let task = deliver(self.node.clone(), address, queue.clone());
             compio::runtime::spawn(task).detach();
-            peer
+            queue
         });
-        let mut messages = peer.messages.borrow_mut();
+        let mut messages = queue.messages.borrow_mut();
         messages.push_back(bytes);
         if messages.len() > MAX_QUEUED_MESSAGES {
             messages.pop_front();
         }
-        peer.queued.notify(usize::MAX);
+        queue.queued.notify(usize::MAX);
     }
 }
 
@@ -97,11 +97,11 @@
 }
 
 /// Delivers the queued messages to one store until the process ends.
-async fn deliver(node: Rc<Node>, address: SocketAddr, peer: Rc<PeerQueue>) {
+async fn deliver(node: Rc<Node>, address: SocketAddr, queue: Rc<PeerQueue>) {
     loop {
-        let mut bytes = peer.next().await;
+        let mut bytes = queue.next().await;
         let Some(client) = connect(address).await else {
-            peer.messages.borrow_mut().clear();
+            queue.messages.borrow_mut().clear();
             compio::time::sleep(RETRY_DELAY).await;
             continue;
         };
@@ -115,10 +115,10 @@
                 log::info!(
                     "the store at {address} did not acknowledge a message; dropping its queue"
                 );
-                peer.messages.borrow_mut().clear();
+                queue.messages.borrow_mut().clear();
                 break;
             }
-            bytes = peer.next().await;
+            bytes = queue.next().await;
         }
     }
 }
--- a/crates/daemon/src/reachability.rs
+++ b/crates/daemon/src/reachability.rs
@@ -24,8 +24,8 @@
 
 /// Tracks which entries answer the packets handed over to them.
 ///
-/// Two entries may be partitioned from each other while all others reach both. Whether handed-over
-/// packets return shows this without extra messages.
+/// Two entries may be partitioned from each other while all others reach both. This is detected
+/// without extra messages, since handed-over packets do not return.
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
     unanswered: HashMap<InstanceId, Unanswered>,
--- a/crates/daemon/src/replica_document.rs
+++ b/crates/daemon/src/replica_document.rs
@@ -1,4 +1,4 @@
-//! Conversion of the replica's document into the type of the RPC protocol.
+//! Conversion of the replica's document into a type of the wire protocol.
 
 use replica::Replica;
 use wire::{
--- a/crates/daemon/src/request_body.rs
+++ b/crates/daemon/src/request_body.rs
@@ -28,7 +28,8 @@
     },
 };
 
-/// Maximum size of a body that is buffered, so that a slow client occupies no slot, in bytes.
+/// Maximum size of a buffered body, in bytes. Bodies are buffered so that a slow client occupies
+/// no slot.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
 /// Time that a client has to send a buffered body.
@@ -37,7 +38,7 @@
 /// The body of a request that is sent to an endpoint.
 #[derive(Debug)]
 pub enum RequestBody {
-    /// A short body, kept until the request cannot be sent again.
+    /// A short body, buffered so that the request can be sent again.
     Buffered(Option<Bytes>),
     /// A long body that is streamed: the bytes already read, and the rest.
     Streamed(Option<Bytes>, Limited<Incoming>),
--- a/crates/daemon/src/response_recorder.rs
+++ b/crates/daemon/src/response_recorder.rs
@@ -41,8 +41,8 @@
 
     /// Records a part of the body.
     pub fn append(&mut self, data: &[u8]) {
-        let fits = |response: &mut StoredResponse| response.append(data);
-        if !self.response.as_mut().is_some_and(fits) {
+        let append = |response: &mut StoredResponse| response.append(data);
+        if !self.response.as_mut().is_some_and(append) {
             self.response = None;
         }
     }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -100,6 +100,7 @@
 
 fn start(settings: Settings, handlers: SignalHandlers) -> Result<(), Error> {
     let _log = logging::start(&settings.log)?;
+    // The deadlines of tarpc need the timers of a Tokio runtime.
     let timers = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
@@ -126,7 +127,7 @@
     }
     spawn(rpc_server::accept(node.clone(), listeners.rpc)).detach();
     spawn(follower::follow(node.clone())).detach();
-    spawn(stop_on_signal(node.clone(), signals)).detach();
+    spawn(handle_signals(node.clone(), signals)).detach();
     let admin = process::serve(
         node.shutdown.clone(),
         listeners.admin,
@@ -162,7 +163,7 @@
     Ok(())
 }
 
-async fn stop_on_signal(node: Rc<Node>, mut signals: Signals) {
+async fn handle_signals(node: Rc<Node>, mut signals: Signals) {
     loop {
         match signals.next().await {
             Ok(Signal::Reload) => {
--- a/crates/daemon/src/service_pools.rs
+++ b/crates/daemon/src/service_pools.rs
@@ -184,11 +184,11 @@
         self.handle_event(service, Event::Endpoints(candidates));
     }
 
-    fn notify(&self, ticket: Ticket, placed: Placement) {
+    fn notify(&self, ticket: Ticket, placement: Placement) {
         let waiter = self.pools.borrow_mut().waiters.remove(&ticket);
         if let Some(waiter) = waiter {
             // A request that was cancelled in the meantime has already left its pool.
-            let _sent = waiter.send(placed);
+            let _sent = waiter.send(placement);
         }
     }
 
--- a/crates/daemon/src/slot.rs
+++ b/crates/daemon/src/slot.rs
@@ -50,8 +50,8 @@
             pools: pools.clone(),
             ticket,
         };
-        let placed = pools.submit(service, ticket, deadline);
-        let key = slot.await_placement(placed).await?;
+        let receiver = pools.submit(service, ticket, deadline);
+        let key = slot.await_placement(receiver).await?;
         Ok((slot, key))
     }
 
@@ -61,13 +61,13 @@
     ///
     /// The refusal of the pool; the request did not run.
     pub async fn place_again(&mut self, outcome: Outcome) -> Result<EndpointKey, RequestError> {
-        let placed = self.pools.register_waiter(self.ticket);
+        let receiver = self.pools.register_waiter(self.ticket);
         let ticket = self.ticket;
         self.pools
             .refresh(&self.service, outcome == Outcome::Unreachable);
         self.pools
             .handle_event(&self.service, Event::Ended { outcome, ticket });
-        self.await_placement(placed).await
+        self.await_placement(receiver).await
     }
 
     /// Transfers the slot to a new owner; this one no longer frees it.
@@ -96,11 +96,11 @@
         &mut self,
         receiver: Receiver<Placement>,
     ) -> Result<EndpointKey, RequestError> {
-        let placed = receiver
+        let placement = receiver
             .await
             .unwrap_or(Err(RequestError::new(Code::RequestShed)));
-        self.occupied = placed.is_ok();
-        placed
+        self.occupied = placement.is_ok();
+        placement
     }
 }
 
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -133,7 +133,7 @@
     let mut services = BTreeMap::new();
     let mut connections: BTreeMap<Box<str>, Vec<u32>> = BTreeMap::new();
     for (key, endpoint) in directory.iter() {
-        let service = service_entry(&mut services, endpoint);
+        let service = service_status(&mut services, endpoint);
         match endpoint.state {
             State::Draining => service.draining += 1,
             State::Ready if directory.takes(now, key) => service.ready += 1,
@@ -147,7 +147,7 @@
         }
     }
     for endpoint in directory.waiting() {
-        service_entry(&mut services, endpoint).waiting += 1;
+        service_status(&mut services, endpoint).waiting += 1;
     }
     for (name, counts) in connections {
         if let Some(service) = services.get_mut(&name) {
@@ -157,7 +157,7 @@
     services.into_values().collect()
 }
 
-fn service_entry<'a>(
+fn service_status<'a>(
     services: &'a mut BTreeMap<Box<str>, ServiceStatus>,
     endpoint: &Endpoint,
 ) -> &'a mut ServiceStatus {
--- a/crates/daemon/src/store_reads.rs
+++ b/crates/daemon/src/store_reads.rs
@@ -44,8 +44,8 @@
     let replica = node.replica.as_ref()?.borrow();
     let raft = replica.raft();
     // Once an entry of its own term is committed, a leader's log has everything accepted before.
-    let own = raft.log().term(raft.commit()) == Some(raft.term());
-    let current = raft.leads() && own && replica.confirmed(node.now());
+    let own_term = raft.log().term(raft.commit()) == Some(raft.term());
+    let current = raft.leads() && own_term && replica.confirmed(node.now());
     current.then(|| replica.ledger().revision().0)
 }
 
--- a/crates/process/src/framing.rs
+++ b/crates/process/src/framing.rs
@@ -5,8 +5,8 @@
     BodyLength, //
 };
 
-/// Largest size of a request's headers, in bytes.
-pub const HEADER_BYTES: usize = 64 * 1024;
+/// Maximum size of a request's headers, in bytes.
+pub const MAX_HEADER_BYTES: usize = 64 * 1024;
 
 /// Passed to the parser in place of a request whose framing is rejected: a request without a `Host`
 /// header, which is answered with an error and closes the connection.
@@ -121,7 +121,7 @@
         let end = rest.iter().position(|byte| *byte == b'\n');
         let (current, later) = rest.split_at(end.map_or(rest.len(), |end| end + 1));
         self.line.extend_from_slice(current);
-        if self.line.len() > HEADER_BYTES {
+        if self.line.len() > MAX_HEADER_BYTES {
             // The parser itself rejects headers of this size.
             out.append(&mut self.line);
             self.state = State::Rejected;
--- a/crates/process/src/server.rs
+++ b/crates/process/src/server.rs
@@ -44,7 +44,7 @@
 
 use crate::{
     checked_stream::CheckedStream,
-    framing::HEADER_BYTES,
+    framing::MAX_HEADER_BYTES,
     shutdown::Shutdown, //
 };
 
@@ -52,8 +52,8 @@
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time after the start of a graceful shutdown during which connections are still accepted and kept
-/// open, so that clients and the fabric can switch to other instances. Each response of that time
-/// closes its connection.
+/// open, so that clients and the fabric can switch to other instances. Each response sent in that
+/// time closes its connection.
 const DRAIN_DELAY: Duration = Duration::from_secs(1);
 
 /// Maximum number of connections accepted from the backlog after [`DRAIN_DELAY`].
@@ -95,7 +95,7 @@
 
 impl OpenConnections {
     /// Records that a connection has closed.
-    fn close(&self) {
+    fn record_closed(&self) {
         self.count.set(self.count.get() - 1);
         self.closed.notify(usize::MAX);
     }
@@ -181,12 +181,12 @@
         }
     });
     let Some(stream) = accept_tls(stream, handler.acceptor()).await else {
-        return open.close();
+        return open.record_closed();
     };
     let connection = Builder::new()
         .timer(CompioTimer)
         .header_read_timeout(HEADER_TIMEOUT)
-        .max_buf_size(HEADER_BYTES)
+        .max_buf_size(MAX_HEADER_BYTES)
         .serve_connection(CheckedStream::new(stream), service);
     let mut connection = pin!(connection);
     let result = match select(connection.as_mut(), pin!(wait_drain_delay(&shutdown))).await {
@@ -199,7 +199,7 @@
     if let Err(error) = result {
         log::debug!("connection closed with an error: {error}");
     }
-    open.close();
+    open.record_closed();
 }
 
 /// Performs the TLS handshake if the server has an acceptor; none if it fails or times out.
