--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -14,7 +14,7 @@
 use event_listener::Event;
 use membership::Members;
 use process::{
-    Stop,
+    Shutdown,
     epoch_millis, //
 };
 use replica::Replica;
@@ -71,7 +71,7 @@
     /// Distribution of the document to this instance and to followers.
     pub document_sync: DocumentSync,
     /// The graceful shutdown.
-    pub stop: Rc<Stop>,
+    pub shutdown: Rc<Shutdown>,
 }
 
 impl Node {
@@ -122,7 +122,7 @@
             settings,
             socket: OnceCell::new(),
             document_sync: DocumentSync::default(),
-            stop: Rc::default(),
+            shutdown: Rc::default(),
         };
         Ok((node, folder))
     }
@@ -141,9 +141,9 @@
     /// instance also needs a document in force that a quorum of the stores has confirmed since its
     /// start.
     pub fn ready(&self) -> bool {
-        let stored = self.replica.is_some();
+        let is_store = self.replica.is_some();
         let revision = self.view.configuration.borrow().revision();
         let confirmed = self.document_sync.follower.borrow().confirmed();
-        (stored || (confirmed && revision > 0)) && !self.stop.begun()
+        (is_store || (confirmed && revision > 0)) && !self.shutdown.begun()
     }
 }
--- a/crates/edge/src/readiness.rs
+++ b/crates/edge/src/readiness.rs
@@ -13,7 +13,7 @@
         Incoming, //
     },
 };
-use process::Handler;
+use process::HttpHandler;
 
 use crate::{
     adapter::Adapter,
@@ -43,7 +43,7 @@
     }
 }
 
-impl<A: Adapter> Handler for ReadinessHandler<A> {
+impl<A: Adapter> HttpHandler for ReadinessHandler<A> {
     type Body = Full<Bytes>;
 
     fn handle(
