--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 #[derive(Diagnostic, ThisError)]
 pub enum Error {
-    /// Two keys contradict each other, or one requires the other.
+    /// Two TOML keys contradict each other, or one requires the other.
     #[diagnostic(code("1004"))]
     #[error("{message}")]
     Contradiction {
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -28,7 +28,7 @@
     pub body_bytes: u64,
     /// Maximum connections or flows per endpoint.
     pub connections: u32,
-    /// Maximum queued requests per entry.
+    /// Maximum queued requests of the service per entry.
     pub queue: u32,
     /// Maximum time that a request stays queued, in milliseconds.
     pub queue_ms: u64,
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -30,12 +30,12 @@
     /// Log levels.
     #[serde(default)]
     pub log: Log,
-    /// Operators who may edit the document.
+    /// Location of the operators' key file.
     pub operators: Option<Operators>,
     /// Inner addresses of the instances to contact first.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Data of a store.
+    /// Settings of the role `store`.
     pub store: Option<Spanned<Store>>,
     /// TLS of the admin listener.
     pub tls: Option<Tls>,
@@ -81,7 +81,7 @@
     pub targets: BTreeMap<Box<str>, Spanned<Box<str>>>,
 }
 
-/// Data of a store.
+/// Settings of the role `store`.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -90,7 +90,7 @@
     pub data: PathBuf,
 }
 
-/// Operators who may edit the document.
+/// Location of the operators' key file.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -209,7 +209,7 @@
     pub body_bytes: Option<Spanned<u64>>,
     /// Maximum connections or flows per endpoint.
     pub connections: Option<Spanned<u64>>,
-    /// Maximum queued requests per entry.
+    /// Maximum queued requests of the service per entry.
     pub queue: Option<Spanned<u64>>,
     /// Maximum time that a request stays queued, in milliseconds.
     pub queue_ms: Option<Spanned<u64>>,
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -98,7 +98,7 @@
     pub data: Option<PathBuf>,
     /// Identity and roles.
     pub instance: Instance,
-    /// Path of the key file; without one, edits are accepted only from loopback addresses.
+    /// Path of the key file; without one, changes are accepted only from loopback addresses.
     pub keys: Option<PathBuf>,
     /// Listen addresses.
     pub listen: Listen,
--- a/crates/settings/tests/service.rs
+++ b/crates/settings/tests/service.rs
@@ -144,7 +144,7 @@
 
 #[test]
 fn service_contradictions() {
-    let more = [
+    let cases = [
         (
             "[service.limits]\nqueue = 0\nqueue_ms = 5\n",
             "`queue_ms` needs a `queue` that is not 0",
@@ -186,14 +186,14 @@
             2,
         ),
     ];
-    for (rows, message, line) in more {
+    for (rows, message, line) in cases {
         assert_error(&format!("{REQUESTS}{rows}"), 1004, message, line);
     }
 }
 
 #[test]
 fn service_mode_flows() {
-    let more = [
+    let cases = [
         ("hosts = [\"a\"]\n", "`hosts` needs mode `requests`"),
         (
             "[service.limits]\nqueue = 1\n",
@@ -208,7 +208,7 @@
             "the table `retry` needs mode `requests`",
         ),
     ];
-    for (rows, message) in more {
+    for (rows, message) in cases {
         assert_error(&format!("{FLOWS}{rows}"), 1004, message, 4);
     }
     let text = FLOWS
--- a/crates/wire/src/audit.rs
+++ b/crates/wire/src/audit.rs
@@ -46,7 +46,8 @@
     pub author: Option<Box<str>>,
     /// Text of the section; empty if the section was removed.
     pub text: Box<str>,
-    /// Time at which the edit was received, in milliseconds since the Unix epoch.
+    /// Time at which the edit was received, in milliseconds since the Unix epoch; `None` if `author`
+    /// is.
     pub time: Option<u64>,
     /// Version number.
     pub version: u64,
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -69,13 +69,13 @@
     /// Decides a proposal if this store is the leader, and refuses it otherwise.
     async fn propose(proposal: Proposal) -> ProposalReply;
 
-    /// Records how the request of a claim ended; entries only.
+    /// Records how the request of a claim ended and returns `true`; entries only.
     async fn settle(claim: Claim, end: ClaimEnd) -> bool;
 
     /// Returns the status of the instance.
     async fn status() -> Status;
 
-    /// Whether no document has ever been in force; `None` unless this store is the leader and has
-    /// the whole log.
+    /// Whether no edit was ever accepted; `None` if unknown. Only a leader that is in contact with a
+    /// quorum and has committed its whole log can rule out an accepted edit.
     async fn unused() -> Option<bool>;
 }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,4 +1,4 @@
-//! Client side of connections between instances.
+//! Establishes connections to other instances.
 
 use std::{
     net::SocketAddr,
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -13,7 +13,7 @@
     instance::Instance, //
 };
 
-/// Maximum length of a datagram between instances, in bytes.
+/// Maximum length of a datagram between instances, in bytes: the largest UDP payload over IPv4.
 pub const MAX_DATAGRAM_BYTES: usize = 65_507;
 
 /// A datagram between instances.
@@ -60,9 +60,9 @@
 pub enum Route {
     /// Not forwarded.
     Direct,
-    /// Forwarded to one other instance.
+    /// Forwarded to the instance with this inner address.
     Forward(SocketAddr),
-    /// Forwarded to all entries of the receiver's data centre.
+    /// Forwarded to a limited number of other entries in the receiver's data centre.
     Spread,
 }
 
--- a/crates/wire/src/edit.rs
+++ b/crates/wire/src/edit.rs
@@ -31,7 +31,7 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EditOutcome {
-    /// The edit is synced to disk and will be in force on every instance.
+    /// The edit is synced to disk on a quorum of stores and will be in force on every instance.
     Accepted {
         /// Revision of the document.
         revision: u64,
--- a/crates/wire/src/handover.rs
+++ b/crates/wire/src/handover.rs
@@ -1,7 +1,7 @@
-//! Datagrams about flows between the fabric listeners of entries.
+//! Datagrams about flows, which entries send to each other's fabric listeners.
 //!
-//! They share a port with GRE-in-UDP packets from the fabric. Their first byte never starts a GRE
-//! header without options.
+//! They share a port with GRE-in-UDP packets from the fabric, and differ from these in the first
+//! byte, which is 0 in a GRE header without options.
 
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
 /// Maximum length of an encoded [`HandoverHeader`], in bytes.
 pub const MAX_HANDOVER_BYTES: usize = 128;
 
-/// Maximum number of entries that a packet visits.
+/// Length of [`HandoverHeader::visited`], the maximum number of handovers of a packet.
 const MAX_VISITED: usize = 10;
 
 /// Action of the entry that receives a handed-over packet.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,8 @@
 //! The wire protocol between instances.
 //!
 //! All encoding between instances is confined to this package: remote calls over TCP, as a
-//! `tarpc` service in `postcard` frames, and single datagrams over UDP.
+//! `tarpc` service in `postcard` frames, and single datagrams over UDP. Only the bytes of a
+//! [`LogMessage`] are encoded elsewhere.
 
 mod audit;
 mod call;
--- a/crates/wire/src/replication.rs
+++ b/crates/wire/src/replication.rs
@@ -55,7 +55,7 @@
     Changed,
     /// Outcome of the edit.
     Outcome(EditOutcome),
-    /// Code and description of the refusal; the code tells whether the proposal may still take
+    /// Code and description of the refusal; the code shows whether the proposal may still take
     /// effect.
     Refused(Code, Box<str>),
 }
@@ -113,7 +113,7 @@
     pub confirmed: bool,
     /// Name of the leader; `None` while it is unknown.
     pub leader: Option<Box<str>>,
-    /// Stores of the log.
+    /// The members, including those that do not vote.
     pub members: Vec<LogMember>,
     /// Current term.
     pub term: u64,
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -33,7 +33,8 @@
 
 /// Time without a call after which a connection is closed.
 ///
-/// Followers poll every few seconds, so only a disconnected or unresponsive peer exceeds it.
+/// Clients send heartbeats and followers poll every few seconds, so only a disconnected or
+/// unresponsive peer exceeds it.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Serves the calls of one connection until it closes or no call arrives for [`IDLE_TIMEOUT`].
--- a/crates/wire/src/status.rs
+++ b/crates/wire/src/status.rs
@@ -27,7 +27,8 @@
 pub struct ServiceStatus {
     /// Number of draining endpoints.
     pub draining: u32,
-    /// Ratio of the most connections of a ready endpoint to the mean; 1 if there are none.
+    /// Ratio of the highest connection count of a ready endpoint to the mean; 1 if there are no
+    /// connections or the ratio is not measured.
     pub imbalance: f64,
     /// Name of the service.
     pub name: Box<str>,
@@ -45,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Status {
-    /// Number of endpoints with a valid lease.
+    /// Number of endpoints with a valid lease, without those that wait for their address.
     pub endpoints: usize,
     /// The instance itself.
     pub instance: Instance,
@@ -73,7 +74,7 @@
 pub struct MemberStatus {
     /// Name of the member's data centre.
     pub centre: Box<str>,
-    /// Number of revisions behind the latest one found.
+    /// Number of revisions behind the latest one found; 0 if the member did not answer.
     pub lag: u64,
     /// Name of the member.
     pub name: Box<str>,
@@ -83,7 +84,7 @@
     pub status: Option<Status>,
 }
 
-/// Status of all known instances, gathered by one of them.
+/// Status of all known instances that have not left, gathered by one of them.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Overview {
