--- a/crates/daemon/src/fabric.rs
+++ b/crates/daemon/src/fabric.rs
@@ -89,7 +89,7 @@
     source: SocketAddr,
     scratch: &mut Vec<u8>,
 ) -> Result<Option<Outgoing>, Code> {
-    // After the process was suspended, this may run before the next tick.
+    // After a pause of the process, this may run before the next tick.
     node.view.directory.borrow_mut().catch_up(node.now());
     if FlowDatagram::is_flow_datagram(datagram) {
         return handle_flow_datagram(node, datagram, source, scratch);
--- a/crates/daemon/src/flow_maintenance.rs
+++ b/crates/daemon/src/flow_maintenance.rs
@@ -25,8 +25,8 @@
 /// Interval between ticks.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Time without a tick after which the process counts as having been suspended.
-const SUSPENSION_THRESHOLD: Duration = Duration::from_secs(1);
+/// Time without a tick after which the process counts as paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Time for which a stopping entry continues to forward packets after it has handed over its flows.
 const LINGER: Duration = Duration::from_secs(1);
@@ -71,7 +71,7 @@
     let mut copies = Vec::new();
     {
         let mut router = node.router.borrow_mut();
-        if now.saturating_sub(*last) > SUSPENSION_THRESHOLD {
+        if now.saturating_sub(*last) > PAUSE_THRESHOLD {
             router.steering.unsettle(now);
         }
         *last = now;
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -45,9 +45,9 @@
 /// but the endpoint does not.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time without a tick after which the process counts as stalled, and time for which its
+/// Time without a tick after which the process counts as paused, and time for which its
 /// observations of endpoints are ignored from then on. A few ticks.
-const STALL_TIME: Duration = Duration::from_secs(1);
+const PAUSE_TIME: Duration = Duration::from_secs(1);
 
 /// A weighted service of a route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -67,8 +67,8 @@
     names: HashMap<Box<str>, EndpointKey>,
     references: HashMap<Reference, EndpointKey>,
     services: HashMap<Box<str>, ServiceKey>,
-    /// Until when observations are ignored because the process was stalled.
-    stalled_until: Duration,
+    /// Until when observations are ignored because the process was paused.
+    paused_until: Duration,
     /// Time of the last tick.
     ticked_at: Duration,
     service_names: SlotMap<ServiceKey, Box<str>>,
@@ -180,8 +180,8 @@
             self.remove_flow(&flow);
             return Err(Code::FlowEndpointGone);
         }
-        let stalled = self.stalled(now);
-        if self.record(now, flow, key, progress) && repeatable && !stalled {
+        let paused = self.paused(now);
+        if self.record(now, flow, key, progress) && repeatable && !paused {
             self.remove_flow(&flow);
             return Err(Code::FlowEndpointUnreachable);
         }
@@ -211,13 +211,13 @@
         }
     }
 
-    /// Whether this process was stalled recently: packets queued up meanwhile, so their timing
+    /// Whether this process was paused recently: packets queued up meanwhile, so their timing
     /// shows nothing about endpoints.
-    fn stalled(&mut self, now: Duration) -> bool {
-        if now.saturating_sub(self.ticked_at) > STALL_TIME {
-            self.stalled_until = now + STALL_TIME;
+    fn paused(&mut self, now: Duration) -> bool {
+        if now.saturating_sub(self.ticked_at) > PAUSE_TIME {
+            self.paused_until = now + PAUSE_TIME;
         }
-        now < self.stalled_until
+        now < self.paused_until
     }
 
     /// Clears the loads that other entries reported.
@@ -231,7 +231,7 @@
     /// last acknowledgement numbers so that they can be reset: a client whose flow was reset sends
     /// its next request on another one. Flows with a pending request are kept.
     pub fn orphans(&mut self, now: Duration) -> Vec<(FlowKey, u32)> {
-        if self.stalled(now) {
+        if self.paused(now) {
             return Vec::new();
         }
         let endpoints = &self.endpoints;
@@ -277,7 +277,7 @@
 
     /// Expires flows and pending requests; must be called a few times a second.
     pub fn tick(&mut self, now: Duration) {
-        if !self.stalled(now) {
+        if !self.paused(now) {
             self.record_refusals(now);
         }
         self.ticked_at = now;
--- a/crates/placement/tests/pool.rs
+++ b/crates/placement/tests/pool.rs
@@ -73,7 +73,7 @@
         self.lookup_without_tick(now, port, name, packet, true)
     }
 
-    /// Looks up a packet without a tick before it, as after the process was stalled.
+    /// Looks up a packet without a tick before it, as after a pause of the process.
     fn lookup_without_tick(
         &mut self,
         now: Duration,
@@ -249,9 +249,9 @@
     assert_eq!(harness.lookup(ms(1000), 3, "i-0", REQUEST), Ok(()));
 }
 
-/// The entry was stalled, and the packets of its clients queued up in its socket.
+/// The entry was paused, and the packets of its clients queued up in its socket.
 #[test]
-fn lookup_after_stall() {
+fn lookup_after_pause() {
     let mut harness = Harness::new(2);
     harness.lookup(ms(0), 1, "i-0", REQUEST).unwrap();
     for at in [3_000, 3_001, 3_002, 3_200] {
--- a/crates/store/tests/cluster.rs
+++ b/crates/store/tests/cluster.rs
@@ -172,7 +172,7 @@
     ));
 }
 
-/// A suspended leader, whose clock did not advance meanwhile, is still in the leader role after
+/// A paused leader, whose clock did not advance meanwhile, is still in the leader role after
 /// another one was elected; it must not answer a read.
 #[test]
 fn read_deposed_leader() {
