--- a/crates/directory/src/binding.rs
+++ b/crates/directory/src/binding.rs
@@ -12,8 +12,8 @@
         FRESHNESS,
         LEASE,
         REBIND_DELAY,
-        TOMBSTONE_RETENTION,
-        WARMUP, //
+        SLOW_START,
+        TOMBSTONE_RETENTION, //
     },
 };
 
@@ -127,7 +127,7 @@
         let Some(ready_at) = self.ready_at.filter(|_| self.accepts_work(now)) else {
             return 0;
         };
-        let step = WARMUP / u32::from(WEIGHT_FULL / WEIGHT_STEP);
+        let step = SLOW_START / u32::from(WEIGHT_FULL / WEIGHT_STEP);
         let steps = now.saturating_sub(ready_at).as_millis() / step.as_millis().max(1);
         let steps = u16::try_from(steps).unwrap_or(u16::MAX);
         WEIGHT_STEP
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -32,8 +32,8 @@
         FRESHNESS,
         LEASE,
         REBIND_DELAY,
+        SLOW_START,
         TICK,
-        TOMBSTONE_RETENTION,
-        WARMUP, //
+        TOMBSTONE_RETENTION, //
     },
 };
--- a/crates/directory/src/times.rs
+++ b/crates/directory/src/times.rs
@@ -28,7 +28,7 @@
 pub const REBIND_DELAY: Duration = LEASE.saturating_add(Duration::from_secs(1));
 
 /// Slow start: time over which a newly ready endpoint's weight grows to its full value.
-pub const WARMUP: Duration = Duration::from_secs(10);
+pub const SLOW_START: Duration = Duration::from_secs(10);
 
 /// Gap between two ticks above which the process counts as paused.
 pub(crate) const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
--- a/crates/directory/tests/directory.rs
+++ b/crates/directory/tests/directory.rs
@@ -10,10 +10,10 @@
     LEASE,
     REBIND_DELAY,
     Report,
+    SLOW_START,
     State,
     TICK,
-    TOMBSTONE_RETENTION,
-    WARMUP, //
+    TOMBSTONE_RETENTION, //
 };
 
 /// Time later than one lease after the start, so that new bindings wait.
@@ -238,7 +238,7 @@
     assert_eq!(weights[0], 100);
     assert!(weights.is_sorted());
     assert_eq!(weights.last(), Some(&1000));
-    assert!(12 * SECOND > WARMUP);
+    assert!(12 * SECOND > SLOW_START);
 }
 
 #[test]
--- a/crates/placement/src/endpoint.rs
+++ b/crates/placement/src/endpoint.rs
@@ -73,10 +73,10 @@
     pub service: ServiceKey,
     /// Requests that it processes at once.
     pub slots: u16,
+    /// When its slow start ends.
+    pub slow_start_end: Duration,
     /// Number by which the endpoint recognises packets addressed to it.
     pub tag: u64,
-    /// When its warm-up ends.
-    pub warmup_end: Duration,
     /// End of its backoff, and the number of consecutive failures.
     pub(crate) backoff: (Duration, u32),
     /// Load from this entry's own flows.
@@ -107,9 +107,9 @@
             response_time: None,
             service,
             slots: 1,
+            slow_start_end: Duration::ZERO,
             tag: 0,
             unreachable_at: None,
-            warmup_end: Duration::ZERO,
         }
     }
 
@@ -131,9 +131,9 @@
         self
     }
 
-    /// Sets when its warm-up ends.
-    pub const fn with_warmup_end(mut self, warmup_end: Duration) -> Self {
-        self.warmup_end = warmup_end;
+    /// Sets when its slow start ends.
+    pub const fn with_slow_start_end(mut self, slow_start_end: Duration) -> Self {
+        self.slow_start_end = slow_start_end;
         self
     }
 
--- a/crates/placement/src/selection.rs
+++ b/crates/placement/src/selection.rs
@@ -28,10 +28,10 @@
 /// a request, and pays off only if the endpoints of the local region have long queues.
 const REGION_HOP_COST: f64 = 4.0;
 
-/// Speed of an endpoint that is warming up, relative to a warm one. Endpoints announce how long
-/// they stay slow, not how slow they are; while warming up, a request commonly takes one and a half
-/// times as long.
-const COLD_SPEED: f64 = 0.6;
+/// Speed of an endpoint during its slow start, relative to one past it. Endpoints announce how
+/// long it lasts, not how slow they are; meanwhile a request commonly takes one and a half times as
+/// long.
+const SLOW_START_SPEED: f64 = 0.6;
 
 /// Lower bound of an endpoint's speed relative to the other endpoints of its service: below it, the
 /// mean of a few requests is too noisy.
@@ -67,7 +67,7 @@
 fn cost(now: Duration, endpoint: &Endpoint, mean_response_time: f64) -> f64 {
     let load = endpoint.load();
     let speed = match endpoint.response_time {
-        _ if now < endpoint.warmup_end => COLD_SPEED,
+        _ if now < endpoint.slow_start_end => SLOW_START_SPEED,
         Some(response_time) => (mean_response_time / response_time).clamp(MIN_SPEED, 1.0),
         None => 1.0,
     };
--- a/crates/placement/tests/pool.rs
+++ b/crates/placement/tests/pool.rs
@@ -38,7 +38,7 @@
 }
 
 impl Harness {
-    /// Creates a pool of `count` warm endpoints of one service.
+    /// Creates a pool of `count` endpoints of one service, past their slow start.
     fn new(count: u8) -> Self {
         let mut pool = Pool::new();
         let service = pool.service("s");
--- a/crates/steering/tests/driver/world.rs
+++ b/crates/steering/tests/driver/world.rs
@@ -16,7 +16,7 @@
 pub const LEASE: Duration = Duration::from_secs(5);
 
 /// Slow start: time over which a new endpoint's share grows.
-const WARMUP: Duration = Duration::from_secs(30);
+const SLOW_START: Duration = Duration::from_secs(30);
 
 /// A simulated endpoint, with the times of its changes.
 #[derive(Clone, Debug)]
@@ -97,6 +97,6 @@
     if added == Duration::ZERO {
         return Endpoint::FULL_SHARE;
     }
-    let steps = age.as_millis() * 10 / WARMUP.as_millis();
+    let steps = age.as_millis() * 10 / SLOW_START.as_millis();
     100 * (1 + steps.min(9)) as u16
 }
