--- a/crates/daemon/src/flow_maintenance.rs
+++ b/crates/daemon/src/flow_maintenance.rs
@@ -72,7 +72,7 @@
     {
         let mut router = node.router.borrow_mut();
         if now.saturating_sub(*last) > PAUSE_THRESHOLD {
-            router.steering.unsettle(now);
+            router.steering.mark_unstable(now);
         }
         *last = now;
         router.refresh();
--- a/crates/steering/src/decisions.rs
+++ b/crates/steering/src/decisions.rs
@@ -66,7 +66,7 @@
                 let record = self.flows.record_packet(now, packet, record);
                 self.deliver(packet, header, record, endpoint)
             }
-            None if self.view.settled(now) && self.flows.pool.gone(record.endpoint) => {
+            None if self.view.stable(now) && self.flows.pool.gone(record.endpoint) => {
                 self.flows.remove(packet.flow);
                 Action::Refuse(Code::FlowEndpointGone)
             }
@@ -96,12 +96,12 @@
 
     /// Decides on a packet of an unknown flow that another entry may have placed.
     fn decide_unknown(&mut self, now: Duration, packet: &FlowPacket, header: Header) -> Decision {
-        let settled = self.view.settled(now);
+        let stable = self.view.stable(now);
         let either = packet.phase == Phase::Either;
         let queried = |id| id == self.view.own() || header.visited.contains(id);
         let owners = self.view.owners(packet.flow);
         let owners_queried =
-            either && settled && owners.into_iter().flatten().all(|one| queried(one.id));
+            either && stable && owners.into_iter().flatten().all(|one| queried(one.id));
         let next = if owners_queried {
             None
         } else {
@@ -110,7 +110,7 @@
         match next {
             Some(action) => action,
             None if either => self.place(now, packet, header),
-            None if settled => Action::Refuse(Code::FlowEndpointGone),
+            None if stable => Action::Refuse(Code::FlowEndpointGone),
             None => Action::Drop(Code::FlowEndpointGone),
         }
     }
--- a/crates/steering/src/owners.rs
+++ b/crates/steering/src/owners.rs
@@ -92,10 +92,10 @@
         self.flows.table.bytes()
     }
 
-    /// Treats the view as unsettled for a while, as after a pause of the process: flows and
+    /// Treats the view as unstable for a while, as after a pause of the process: flows and
     /// endpoints that are unknown may still exist.
-    pub fn unsettle(&mut self, now: Duration) {
-        self.view.unsettle(now);
+    pub fn mark_unstable(&mut self, now: Duration) {
+        self.view.mark_unstable(now);
     }
 }
 
--- a/crates/steering/src/view.rs
+++ b/crates/steering/src/view.rs
@@ -13,10 +13,10 @@
 
 /// Time after a change of the view, a start or a pause during which a flow or endpoint unknown to
 /// this entry is not taken to be gone.
-const SETTLE_TIME: Duration = Duration::from_secs(10);
+const STABILISATION_TIME: Duration = Duration::from_secs(10);
 
 /// The same after an entry disappeared without leaving; it may be alive beyond a partition.
-const LOSS_SETTLE_TIME: Duration = Duration::from_secs(60);
+const LOSS_STABILISATION_TIME: Duration = Duration::from_secs(60);
 
 /// Time after the start at which an entry that knows no other assumes that it is the only one.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
@@ -29,7 +29,7 @@
     joined_at: Duration,
     own: Peer,
     peers: Vec<Peer>,
-    settled_at: Duration,
+    stable_at: Duration,
 }
 
 impl View {
@@ -40,7 +40,7 @@
             joined_at: now + JOIN_TIMEOUT,
             own,
             peers: Vec::new(),
-            settled_at: now + SETTLE_TIME,
+            stable_at: now + STABILISATION_TIME,
         }
     }
 
@@ -56,7 +56,7 @@
             .any(|old| !old.leaving && peers.iter().all(|new| new.id != old.id));
         let reachable_count = |peers: &[Peer]| peers.iter().filter(|peer| peer.reachable).count();
         if reachable_count(peers) != reachable_count(&self.peers) {
-            self.unsettle(now);
+            self.mark_unstable(now);
         }
         self.peers.clear();
         self.peers.extend_from_slice(peers);
@@ -65,7 +65,7 @@
             self.advance_epoch(now);
         }
         if lost {
-            self.settled_at = now + LOSS_SETTLE_TIME;
+            self.stable_at = now + LOSS_STABILISATION_TIME;
         }
         moved
     }
@@ -76,9 +76,9 @@
         self.advance_epoch(now);
     }
 
-    /// Treats the view as unsettled for [`SETTLE_TIME`], as after a pause of the process.
-    pub fn unsettle(&mut self, now: Duration) {
-        self.settled_at = self.settled_at.max(now + SETTLE_TIME);
+    /// Treats the view as unstable for [`STABILISATION_TIME`], as after a pause of the process.
+    pub fn mark_unstable(&mut self, now: Duration) {
+        self.stable_at = self.stable_at.max(now + STABILISATION_TIME);
     }
 
     /// Whether the entry knows others or has waited for [`JOIN_TIMEOUT`].
@@ -86,9 +86,9 @@
         now >= self.joined_at
     }
 
-    /// Whether the view has been unchanged for its settle time.
-    pub fn settled(&self, now: Duration) -> bool {
-        now >= self.settled_at
+    /// Whether the view has been unchanged for its stabilisation time.
+    pub fn stable(&self, now: Duration) -> bool {
+        now >= self.stable_at
     }
 
     /// Number of the view, which changes when flows move.
@@ -182,6 +182,6 @@
     fn advance_epoch(&mut self, now: Duration) {
         // Epoch 0 marks records that have never been copied.
         self.epoch = self.epoch.checked_add(1).unwrap_or(1);
-        self.settled_at = self.settled_at.max(now + SETTLE_TIME);
+        self.stable_at = self.stable_at.max(now + STABILISATION_TIME);
     }
 }
