--- a/crates/announcements/src/registry.rs
+++ b/crates/announcements/src/registry.rs
@@ -54,9 +54,9 @@
 pub struct Registry {
     /// Endpoint that owns each address: the one with the latest incarnation.
     addresses: HashMap<SocketAddrV4, Box<str>>,
+    endpoints: BTreeMap<Box<str>, KnownEndpoint>,
     /// Number of the latest change; each accepted record is one, even a renewal.
     last_change: u64,
-    endpoints: BTreeMap<Box<str>, KnownEndpoint>,
     /// Time without an announcement after which an endpoint counts as silent.
     timeout: Duration,
 }
