--- a/crates/process/src/framing.rs
+++ b/crates/process/src/framing.rs
@@ -37,9 +37,9 @@
 
 /// Validates the request framing of one connection.
 ///
-/// It buffers the headers of a request until they are complete. Against request smuggling (RFC 9112,
-/// section 11.2) it rejects requests whose length two parsers could read differently: line ends
-/// other than CRLF, folded lines and ambiguous body lengths.
+/// It buffers the headers of a request until they are complete. Against request smuggling (RFC
+/// 9112, section 11.2) it rejects requests whose length two parsers could read differently: line
+/// ends other than CRLF, folded lines and ambiguous body lengths.
 #[derive(Clone, Debug)]
 pub struct FramingChecker {
     line: Vec<u8>,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,9 @@
 //! The replicated configuration log, based on Raft.
 //!
 //! [`Raft`] is the state machine of one store and does no I/O: it handles elections, replication,
-//! snapshots and membership, and applies committed entries to the [`Ledger`]. [`DataFolder`] persists
-//! its state. A driver passes [`Event`]s to `Raft` and carries out the [`Action`]s that it returns.
+//! snapshots and membership, and applies committed entries to the [`Ledger`]. [`DataFolder`]
+//! persists its state. A driver passes [`Event`]s to `Raft` and carries out the [`Action`]s that it
+//! returns.
 
 mod audit;
 mod edit;
