--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn resume_long_pause() {
+fn restart_suspicions_long_pause() {
     let mut net = converged_net(6, &[1, 2, 3, 4]);
     net.frozen.insert(3);
     net.run(10 * SECOND);
--- a/crates/store/tests/raft.rs
+++ b/crates/store/tests/raft.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn lead_without_quorum() {
+fn heartbeat_without_quorum() {
     let mut sim = with_leader(3, Timing::new());
     sim.event(0, Event::Edit(edit("e1", 0), Token(1)));
     for _ in 0..10 {
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn receive_other_cluster() {
+fn handle_message_other_cluster() {
     let mut sim = with_leader(3, Timing::new());
     let other = Message {
         body: Body::Vote {
