--- a/crates/edge/src/control.rs
+++ b/crates/edge/src/control.rs
@@ -207,7 +207,7 @@
         .check_publication(&publication);
     let published = match known {
         Some(known) => known,
-        None => match submit_to_group(state, |token| Event::Publish(publication, token)).await? {
+        None => match submit_to_cluster(state, |token| Event::Publish(publication, token)).await? {
             Submission::Redirect(reply) => return Ok(reply),
             Submission::Answered(Answer::Published(published)) => published,
             Submission::Answered(_) => return Err(timed_out()),
@@ -224,7 +224,7 @@
 }
 
 async fn read(state: &StoreState) -> Result<Reply, Refusal> {
-    match submit_to_group(state, Event::Read).await? {
+    match submit_to_cluster(state, Event::Read).await? {
         Submission::Redirect(reply) => Ok(reply),
         Submission::Answered(Answer::Current) => {
             let replica = state.replica.borrow();
@@ -239,14 +239,14 @@
     }
 }
 
-/// Result of a request to the group.
+/// Result of a request to the cluster.
 enum Submission {
     Redirect(Reply),
     Answered(Answer),
 }
 
-/// Submits a request to the group, or redirects to the leader if this store does not lead.
-async fn submit_to_group(
+/// Submits a request to the cluster, or redirects to the leader if this store does not lead.
+async fn submit_to_cluster(
     state: &StoreState,
     event: impl FnOnce(Token) -> Event,
 ) -> Result<Submission, Refusal> {
--- a/crates/edge/src/message.rs
+++ b/crates/edge/src/message.rs
@@ -29,7 +29,7 @@
     Store {
         /// Its data centre.
         centre: Box<str>,
-        /// The store as a member of the group.
+        /// The store as a member of the cluster.
         member: Member,
     },
 }
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize, Serialize)]
 pub struct Gossip {
-    /// Request of the sender to join the group as this member.
+    /// Request of the sender to join the cluster as this member.
     pub join: Option<Member>,
     /// Changed loads, as reported by the entries that follow the sender.
     pub loads: Option<Vec<EndpointLoad>>,
--- a/crates/edge/src/run_store.rs
+++ b/crates/edge/src/run_store.rs
@@ -190,7 +190,7 @@
     Ok((state, folder))
 }
 
-/// A store as a member of the group, named by its address.
+/// A store as a member of the cluster, named by its address.
 fn member(address: SocketAddrV4, id: StoreId) -> Member {
     Member {
         address: address.into(),
@@ -207,7 +207,7 @@
     StoreId(hasher.finish())
 }
 
-/// The id of the group founded by the stores at these addresses.
+/// The id of the cluster founded by the stores at these addresses.
 fn cluster_id(seeds: &[SocketAddrV4]) -> ClusterId {
     let mut seeds = seeds.to_vec();
     seeds.sort();
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -50,7 +50,7 @@
     pub document: RefCell<Option<Rc<Document>>>,
     /// Load reports of the entries that follow this store, by the entry's name.
     pub loads: RefCell<BTreeMap<Box<str>, EntryReport>>,
-    /// This store as a member of the group.
+    /// This store as a member of the cluster.
     pub member: Member,
     pub metrics: Metrics,
     pub peers: RefCell<Peers>,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Whether this store must request to join the group.
+    /// Whether this store must request to join the cluster.
     pub fn needs_join(&self) -> bool {
         self.replica.borrow().raft().needs_join(self.clock.now())
     }
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -134,7 +134,7 @@
 }
 
 impl StoreState {
-    /// Members of the group. Other stores are named by their addresses only.
+    /// Members of the cluster. Other stores are named by their addresses only.
     fn log_members(&self) -> LogMembers {
         let replica = self.replica.borrow();
         let mut members = replica::members(&replica, self.clock.now());
