--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -67,7 +67,7 @@
     /// Version of the document in force.
     pub version: Gauge,
     /// Refusals by number of the result code, for the status page.
-    refusals_by_code: Rc<RefCell<BTreeMap<u16, u64>>>,
+    code_counts: Rc<RefCell<BTreeMap<u16, u64>>>,
     registry: Rc<Registry>,
 }
 
@@ -111,7 +111,7 @@
             placed,
             quorum,
             refusals,
-            refusals_by_code: Rc::default(),
+            code_counts: Rc::default(),
             registry: Rc::new(registry),
             stores,
             unsent,
@@ -122,15 +122,15 @@
     /// Counts a refusal.
     pub fn count_refusal(&self, code: Code) {
         self.refusals.get_or_create(&CodeLabel::from(code)).inc();
-        let mut refusals_by_code = self.refusals_by_code.borrow_mut();
-        *refusals_by_code.entry(code.number()).or_default() += 1;
+        let mut code_counts = self.code_counts.borrow_mut();
+        *code_counts.entry(code.number()).or_default() += 1;
     }
 
     /// Number of refusals by result code.
     pub fn refusals_by_code(&self) -> Vec<RefusalCount> {
-        let refusals_by_code = self.refusals_by_code.borrow();
-        let refusals_by_code = refusals_by_code.iter();
-        refusals_by_code
+        let code_counts = self.code_counts.borrow();
+        let code_counts = code_counts.iter();
+        code_counts
             .map(|(code, count)| RefusalCount {
                 code: *code,
                 count: *count,
--- a/crates/edge/src/view.rs
+++ b/crates/edge/src/view.rs
@@ -362,7 +362,7 @@
         };
         let announcement = &known.announcement;
         let service = self.pool.service(&announcement.service);
-        let slow_start_end = now + Duration::from_millis(u64::from(announcement.warmup));
+        let slow_until = now + Duration::from_millis(u64::from(announcement.warmup));
         let endpoint = Endpoint::new(
             name,
             announcement.incarnation,
@@ -372,7 +372,7 @@
         .with_phase(phase)
         .with_slots(announcement.slots)
         .with_tag(tag(name).unwrap_or_default())
-        .with_slow_start_end(slow_start_end);
+        .with_slow_until(slow_until);
         let distance = self.locality.distance(&announcement.centre);
         self.pool.update(endpoint.with_distance(distance));
     }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -71,7 +71,7 @@
 pub struct Members {
     pub(crate) due: Due,
     pub(crate) forwarded: BTreeMap<u64, ForwardedProbe>,
-    pub(crate) join_messages_left: usize,
+    pub(crate) joins_left: usize,
     pub(crate) last_number: u64,
     pub(crate) probe: Option<Probe>,
     pub(crate) probe_queue: VecDeque<Box<str>>,
@@ -86,7 +86,7 @@
         Self {
             due: Due::default(),
             forwarded: BTreeMap::new(),
-            join_messages_left: JOIN_FANOUT,
+            joins_left: JOIN_FANOUT,
             last_number: 0,
             probe: None,
             probe_queue: VecDeque::new(),
@@ -170,8 +170,8 @@
         for rumour in message.rumours {
             let (to, standing) = (rumour.instance.inner, rumour.standing);
             let new = self.view.merge(now, rumour.instance, standing);
-            if new && standing == Standing::Alive && self.join_messages_left > 0 {
-                self.join_messages_left -= 1;
+            if new && standing == Standing::Alive && self.joins_left > 0 {
+                self.joins_left -= 1;
                 actions.push(self.view.message(to, Body::Tell));
             }
         }
--- a/crates/placement/src/endpoint.rs
+++ b/crates/placement/src/endpoint.rs
@@ -74,7 +74,7 @@
     /// Requests that it processes at once.
     pub slots: u16,
     /// When its slow start ends.
-    pub slow_start_end: Duration,
+    pub slow_until: Duration,
     /// Number by which the endpoint recognises packets addressed to it.
     pub tag: u64,
     /// End of its backoff, and the number of consecutive failures.
@@ -107,7 +107,7 @@
             response_time: None,
             service,
             slots: 1,
-            slow_start_end: Duration::ZERO,
+            slow_until: Duration::ZERO,
             tag: 0,
             unreachable_at: None,
         }
@@ -132,8 +132,8 @@
     }
 
     /// Sets when its slow start ends.
-    pub const fn with_slow_start_end(mut self, slow_start_end: Duration) -> Self {
-        self.slow_start_end = slow_start_end;
+    pub const fn with_slow_until(mut self, slow_until: Duration) -> Self {
+        self.slow_until = slow_until;
         self
     }
 
--- a/crates/placement/src/selection.rs
+++ b/crates/placement/src/selection.rs
@@ -67,7 +67,7 @@
 fn cost(now: Duration, endpoint: &Endpoint, mean_response_time: f64) -> f64 {
     let load = endpoint.load();
     let speed = match endpoint.response_time {
-        _ if now < endpoint.slow_start_end => SLOW_START_SPEED,
+        _ if now < endpoint.slow_until => SLOW_START_SPEED,
         Some(response_time) => (mean_response_time / response_time).clamp(MIN_SPEED, 1.0),
         None => 1.0,
     };
