--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,4 +1,4 @@
-//! Membership of the cluster by gossip: probes, incarnations and suspicion.
+//! Membership of the instances by gossip: probes, incarnations and suspicion.
 
 mod event;
 mod instance;
